--- a/bench/ablate.py
+++ b/bench/ablate.py
@@ -135,7 +135,7 @@
 
 
 def _same_capacity(self: Any, worker: Any, request: Any, now: int) -> bool:
-    return bool(self.held_for_each_slot(worker, now) >= queue_estimates.ROOM)
+    return bool(self.held_for_each_slot(worker, now) >= queue_estimates.SATURATION_LOAD)
 
 
 def _no_hint(self: Any, request: Any, worker: Any = None) -> float:
@@ -172,7 +172,7 @@
     "vouched": Without("jobs not to be repeated where one was done", {"is_trusted_with_unsafe": same(True)}, {}),
     "crowded": Without("room by live weights", {"is_saturated": same(False)}, {}),
     "room-by-job": Without("that room differs by job and zone", {"is_saturated": _same_capacity}, {}),
-    "away-pace": Without("other zones' queues end more slowly", {}, {"AWAY_PACE": 1.0}),
+    "away-pace": Without("other zones' queues end more slowly", {}, {"OTHER_ZONES_SERVICE_RATE": 1.0}),
     "count-held": Without("own sends count towards what is held", {"count_sent": same(None)}, {}),
     "live-weights": Without("live weights at all", {"learn_weight": same(None)}, {}),
 }
--- a/canvasbeam/adapter.py
+++ b/canvasbeam/adapter.py
@@ -1,4 +1,8 @@
-"""Hosts dispatchers on the simulator's wire: JSON lines in, JSON lines out. It decides nothing."""
+"""Host dispatchers on the simulator's wire: JSON lines in, JSON lines out.
+
+The names of the wire ("runner", "hop") are translated here alone. The module decides nothing. Batches are answered one
+after the other; whatever breaks the wire ends the program with status 1 and one line on standard error.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +11,7 @@
 import json
 import sys
 from collections.abc import Callable, Iterable
-from typing import TextIO
+from typing import Any, TextIO, cast
 
 from canvasbeam.dispatch.actions import (
     Action,
@@ -41,17 +45,23 @@
     WorkersListed,
     WorkerState,
 )
-from canvasbeam.dispatch.settings_json import (
+from canvasbeam.dispatch.json_fields import (
     Fields,
     WireError,
-    need,
+    choice,
     number,
-    one_of,
-    read_settings,
+    required,
     section,
-    whole,
-    word,
+    text,
+    whole_number,
 )
+from canvasbeam.dispatch.settings_json import read_settings
+
+BEGIN_BATCH = "BeginBatch"
+END_BATCH = "Commit"
+LAUNCH = "Launch"
+DETACH = "Detach"
+WORKER_LIST = "Ledger"
 
 STATES = {
     "live": WorkerState.LIVE,
@@ -64,6 +74,7 @@
     "warm_copy": ListKind.WARM_COPY,
     "lost": ListKind.LOST,
 }
+# By their codes.
 OUTCOMES = dict(
     enumerate(
         (
@@ -78,33 +89,36 @@
         )
     )
 )
+# The kinds of notes on attempts.
+STARTED_NOTE = 1
+PROGRESS_NOTE = 2
 
 
-# --- events -----------------------------------------------------------------------------------
+# --- events
 
 
 def read_entry(fields: Fields) -> WorkerEntry:
-    """One worker of a list."""
+    """Return one worker of a list."""
     return WorkerEntry(
-        worker=word(fields, "runner"),
-        zone=word(fields, "locality"),
+        worker=text(fields, "runner"),
+        zone=text(fields, "locality"),
         kind=str(fields.get("sku") or ""),
-        cell=whole(fields, "group", 0),
-        state=one_of(fields, "stageState", STATES, WorkerState.LIVE),
+        cell=whole_number(fields, "group", 0),
+        state=choice(fields, "stageState", STATES, WorkerState.LIVE),
         weight=number(fields, "heft", 1.0),
-        started_ns=whole(fields, "onlineSinceNs", 0),
+        started_ns=whole_number(fields, "onlineSinceNs", 0),
     )
 
 
-def read_job(fields: Fields) -> RequestArrived:
-    """A job that was taken."""
+def read_arrival(fields: Fields) -> RequestArrived:
+    """Return a request that arrived."""
     return RequestArrived(
-        request_id=word(fields, "requestId"),
-        request_class=word(fields, "grade"),
-        deadline_ns=whole(fields, "dueNs"),
+        request_id=text(fields, "requestId"),
+        request_class=text(fields, "grade"),
+        deadline_ns=whole_number(fields, "dueNs"),
         tenant=fields.get("userGroup") or None,
         key=fields.get("partitionKey"),
-        service_hint_ns=whole(fields, "effortNs", 0),
+        service_hint_ns=whole_number(fields, "effortNs", 0),
         slots=number(fields, "width", 1.0),
         memory=number(fields, "ramUnits", 0.0),
         repeat=bool(fields.get("repeat")),
@@ -114,142 +128,158 @@
 
 
 def read_note(fields: Fields) -> Event | None:
-    """A note on an attempt; kinds not known are skipped."""
-    job, attempt, worker = word(fields, "requestId"), whole(fields, "hop", 0), word(fields, "runner")
-    kind = whole(fields, "kind")
-    if kind == 1:
-        return AttemptStarted(job, attempt, worker)
-    if kind == 2:
-        return AttemptProgressed(job, attempt, worker, number(fields, "value", 0.0))
+    """Return a note on an attempt; kinds not known are skipped."""
+    request_id = text(fields, "requestId")
+    attempt = whole_number(fields, "hop", 0)
+    worker = text(fields, "runner")
+    kind = whole_number(fields, "kind")
+    if kind == STARTED_NOTE:
+        return AttemptStarted(request_id, attempt, worker)
+    if kind == PROGRESS_NOTE:
+        return AttemptProgressed(request_id, attempt, worker, number(fields, "value", 0.0))
     return None
 
 
-def read_peer(fields: Fields) -> PeerMessageReceived:
-    """A message of another dispatcher."""
+def read_stream_opened(fields: Fields) -> StreamOpened:
+    """Return that the answer of an attempt has begun."""
+    return StreamOpened(
+        text(fields, "requestId"),
+        whole_number(fields, "hop", 0),
+        text(fields, "runner"),
+        whole_number(fields, "rttNs", 0),
+    )
+
+
+def read_peer_message(fields: Fields) -> PeerMessageReceived:
+    """Return a message of another dispatcher."""
     try:
-        content = base64.b64decode(word(fields, "content"), validate=True)
+        content = base64.b64decode(text(fields, "content"), validate=True)
     except (binascii.Error, ValueError) as error:
         raise WireError("Memo: field content is not base64") from error
-    return PeerMessageReceived(whole(fields, "sender", 0), content)
+    return PeerMessageReceived(whole_number(fields, "sender", 0), content)
 
 
 class Instance:
     """One hosted dispatcher and what has come in for it in this batch."""
 
     def __init__(self, fields: Fields) -> None:
-        options = need(fields, "options")
+        """Make a dispatcher by the settings of a message; raises `WireError`."""
+        options = required(fields, "options")
         if not isinstance(options, dict):
             raise WireError("Launch: field options is not an object")
         try:
             settings, self._report_names = read_settings(options)
-            seed = whole(fields, "randomSeed", 0)
+            seed = whole_number(fields, "randomSeed", 0)
         except ValueError as error:
             raise WireError(f"Launch: {error}") from error
         self.dispatcher = Dispatcher(settings, seed)
         self.pending: list[Event] = []
 
     def read_report(self, fields: Fields) -> dict[str, float] | None:
-        """The load report that came along, in this project's names."""
+        """Return the load report that came along, in this project's names."""
         stats = section(fields, "stats")
         return {self._report_names.get(name, name): number(stats, name, 0.0) for name in stats} or None
 
-    def read_ended(self, fields: Fields) -> AttemptEnded:
-        """How an attempt ended."""
+    def read_attempt_ended(self, fields: Fields) -> AttemptEnded:
+        """Return how an attempt ended."""
         return AttemptEnded(
-            request_id=word(fields, "requestId"),
-            attempt=whole(fields, "hop", 0),
-            worker=word(fields, "runner"),
-            outcome=one_of(fields, "code", OUTCOMES),
-            elapsed_ns=whole(fields, "rttNs", 0),
+            request_id=text(fields, "requestId"),
+            attempt=whole_number(fields, "hop", 0),
+            worker=text(fields, "runner"),
+            outcome=choice(fields, "code", OUTCOMES),
+            elapsed_ns=whole_number(fields, "rttNs", 0),
             final=bool(fields.get("final")),
-            remark=whole(fields, "remark", 0),
+            remark=whole_number(fields, "remark", 0),
             report=self.read_report(fields),
         )
 
-    def read_probed(self, fields: Fields) -> HealthCheckEnded:
-        """How a probe ended."""
+    def read_health_check_ended(self, fields: Fields) -> HealthCheckEnded:
+        """Return how a health check ended."""
         return HealthCheckEnded(
-            word(fields, "runner"),
-            one_of(fields, "code", OUTCOMES),
-            whole(fields, "rttNs", 0),
+            text(fields, "runner"),
+            choice(fields, "code", OUTCOMES),
+            whole_number(fields, "rttNs", 0),
             self.read_report(fields),
         )
 
 
-# --- actions ----------------------------------------------------------------------------------
+# --- actions
+
+# How each action stands on the wire, without its instance.
+ENCODERS: dict[type, Callable[[Any], Fields]] = {
+    StartAttempt: lambda action: {
+        "t": "Issue",
+        "requestId": action.request_id,
+        "runner": action.worker,
+        "capNs": action.timeout_ns,
+    },
+    CancelAttempt: lambda action: {"t": "Abandon", "requestId": action.request_id, "hop": action.attempt},
+    RejectRequest: lambda action: {
+        "t": "Decline",
+        "requestId": action.request_id,
+        "comeBackNs": action.come_back_ns,
+    },
+    FailRequest: lambda action: {"t": "Surrender", "requestId": action.request_id},
+    SetTimer: lambda action: {"t": "Arm", "nonce": action.token, "whenNs": action.when_ns},
+    CheckHealth: lambda action: {"t": "Poll", "runner": action.worker},
+    CloseIdleConnections: lambda action: {"t": "FreeLinks", "runner": action.worker},
+    SendToPeer: lambda action: {
+        "t": "Post",
+        "target": action.peer,
+        "content": base64.b64encode(action.content).decode(),
+    },
+    WriteLog: lambda action: {"t": "JournalLine", "text": action.text},
+    WatchWorkers: lambda action: {"t": "Observe", "enable": action.enable},
+    FetchWorkerList: lambda action: {"t": "Lookup"},
+}
 
 
 def encode(action: Action) -> Fields:
-    """An action in the wire's words, without its instance."""
-    match action:
-        case StartAttempt(job, worker, timeout):
-            return {"t": "Issue", "requestId": job, "runner": worker, "capNs": timeout}
-        case CancelAttempt(job, attempt):
-            return {"t": "Abandon", "requestId": job, "hop": attempt}
-        case RejectRequest(job, come_back):
-            return {"t": "Decline", "requestId": job, "comeBackNs": come_back}
-        case FailRequest(job):
-            return {"t": "Surrender", "requestId": job}
-        case SetTimer(token, when):
-            return {"t": "Arm", "nonce": token, "whenNs": when}
-        case CheckHealth(worker):
-            return {"t": "Poll", "runner": worker}
-        case CloseIdleConnections(worker):
-            return {"t": "FreeLinks", "runner": worker}
-        case SendToPeer(peer, content):
-            return {"t": "Post", "target": peer, "content": base64.b64encode(content).decode()}
-        case WriteLog(text):
-            return {"t": "JournalLine", "text": text}
-        case WatchWorkers(enable):
-            return {"t": "Observe", "enable": enable}
-        case FetchWorkerList():
-            return {"t": "Lookup"}
-
-
-# --- hosting ----------------------------------------------------------------------------------
+    """Return an action in the wire's words, without its instance."""
+    return ENCODERS[type(action)](action)
+
+
+# --- hosting
 
 
 class Host:
     """Keeps many isolated instances and answers one batch after another."""
 
     def __init__(self, lines: Iterable[str], out: TextIO, err: TextIO) -> None:
+        """Read messages from `lines`, answer on `out`, and tell of what is skipped on `err`."""
         self._lines = iter(lines)
         self._out = out
         self._err = err
         self._lists: dict[int, tuple[WorkerEntry, ...]] = {}
         self._instances: dict[int, Instance] = {}
-        self._touched: dict[int, None] = {}
+        self._addressed: dict[int, None] = {}  # instances with events in this batch, in their order
         self._readers: dict[str, Callable[[Instance, Fields], Event | None]] = {
             "BackendsChanged": lambda _, fields: self._read_workers(fields),
-            "WorkItem": lambda _, fields: read_job(fields),
-            "Opened": lambda _, fields: StreamOpened(
-                word(fields, "requestId"),
-                whole(fields, "hop", 0),
-                word(fields, "runner"),
-                whole(fields, "rttNs", 0),
-            ),
+            "WorkItem": lambda _, fields: read_arrival(fields),
+            "Opened": lambda _, fields: read_stream_opened(fields),
             "UpdateOf": lambda _, fields: read_note(fields),
-            "Answer": lambda instance, fields: instance.read_ended(fields),
-            "Hangup": lambda _, fields: ClientDisconnected(word(fields, "requestId")),
-            "TimeoutFired": lambda _, fields: TimerFired(word(fields, "nonce")),
-            "CheckResult": lambda instance, fields: instance.read_probed(fields),
-            "Memo": lambda _, fields: read_peer(fields),
+            "Answer": lambda instance, fields: instance.read_attempt_ended(fields),
+            "Hangup": lambda _, fields: ClientDisconnected(text(fields, "requestId")),
+            "TimeoutFired": lambda _, fields: TimerFired(text(fields, "nonce")),
+            "CheckResult": lambda instance, fields: instance.read_health_check_ended(fields),
+            "Memo": lambda _, fields: read_peer_message(fields),
         }
 
     def run(self) -> None:
-        """Answer batches until the input ends."""
+        """Answer batches until the input ends; raises `WireError` where the input breaks the wire."""
         while (opening := self._next_message()) is not None:
-            if opening.get("t") != "BeginBatch":
+            if opening.get("t") != BEGIN_BATCH:
                 raise WireError(f"expected BeginBatch, got {opening.get('t')!r}")
-            now, turn = whole(opening, "clockNs"), whole(opening, "turn")
-            self._touched.clear()
-            while (message := self._next_message()) is not None and message.get("t") != "Commit":
+            now, batch = whole_number(opening, "clockNs"), whole_number(opening, "turn")
+            self._addressed.clear()
+            while (message := self._next_message()) is not None and message.get("t") != END_BATCH:
                 self._take(message)
             if message is None:
                 raise WireError("input ended inside a batch")
-            self._reply(now, turn)
+            self._reply(now, batch)
 
     def _next_message(self) -> Fields | None:
+        """Return the next message; none at the end of the input."""
         for line in self._lines:
             if not line.strip():
                 continue
@@ -263,62 +293,89 @@
         return None
 
     def _take(self, message: Fields) -> None:
-        """Read one event and keep it for its instance."""
+        """Take one message of a batch: a list of workers, an instance's begin or end, or an event for it."""
         tag = message["t"]
-        if tag == "BeginBatch":
+        if tag == BEGIN_BATCH:
             raise WireError("BeginBatch inside a batch")
-        if tag == "Ledger":
-            entries = need(message, "elements")
-            self._lists[whole(message, "buffer")] = tuple(read_entry(each) for each in entries)
-            return
-        if tag not in self._readers and tag not in ("Launch", "Detach"):
+        if tag == WORKER_LIST:
+            self._take_list(message)
+        elif tag == LAUNCH:
+            self._launch(message)
+        elif tag == DETACH:
+            self._detach(message)
+        elif tag in self._readers:
+            self._take_event(message)
+        else:
             print(f"skipped an unknown event {tag!r}", file=self._err)
-            return
-        number_ = whole(message, "i")
-        if tag == "Launch":
-            self._instances[number_] = Instance(message)
-            self._touched[number_] = None
-            return
-        instance = self._instances.get(number_)
-        if instance is None:
-            raise WireError(f"{tag}: instance {number_} is unknown")
-        if tag == "Detach":
-            del self._instances[number_]
-            self._touched.pop(number_, None)
-            return
-        event = self._readers[tag](instance, message)
-        self._touched[number_] = None
+
+    def _take_list(self, message: Fields) -> None:
+        """Keep a list of workers, to which events refer by its number."""
+        entries = cast("list[Fields]", required(message, "elements"))
+        self._lists[whole_number(message, "buffer")] = tuple(read_entry(entry) for entry in entries)
+
+    def _launch(self, message: Fields) -> None:
+        """Begin an instance."""
+        instance_number = whole_number(message, "i")
+        self._instances[instance_number] = Instance(message)
+        self._addressed[instance_number] = None
+
+    def _detach(self, message: Fields) -> None:
+        """End an instance."""
+        instance_number, _ = self._find_instance(message)
+        del self._instances[instance_number]
+        self._addressed.pop(instance_number, None)
+
+    def _take_event(self, message: Fields) -> None:
+        """Keep an event for its instance."""
+        instance_number, instance = self._find_instance(message)
+        event = self._readers[message["t"]](instance, message)
+        self._addressed[instance_number] = None
         if event is not None:
             instance.pending.append(event)
 
+    def _find_instance(self, message: Fields) -> tuple[int, Instance]:
+        """Return the instance that a message is for, with its number."""
+        instance_number = whole_number(message, "i")
+        instance = self._instances.get(instance_number)
+        if instance is None:
+            raise WireError(f"{message['t']}: instance {instance_number} is unknown")
+        return instance_number, instance
+
     def _read_workers(self, fields: Fields) -> WorkersListed:
-        kind = one_of(fields, "scope", LIST_KINDS)
+        """Return what discovery lists."""
+        kind = choice(fields, "scope", LIST_KINDS)
         if kind is ListKind.LOST:
             return WorkersListed(kind)
-        buffer = whole(fields, "buffer")
-        if buffer not in self._lists:
-            raise WireError(f"BackendsChanged: list {buffer} was never given")
-        return WorkersListed(kind, self._lists[buffer], whole(fields, "rev", 0))
+        list_number = whole_number(fields, "buffer")
+        if list_number not in self._lists:
+            raise WireError(f"BackendsChanged: list {list_number} was never given")
+        return WorkersListed(kind, self._lists[list_number], whole_number(fields, "rev", 0))
 
-    def _reply(self, now: int, turn: int) -> None:
+    def _reply(self, now: int, batch: int) -> None:
+        """Have the instances decide, and write their actions and the end of the batch."""
         lines: list[str] = []
-        for number_ in self._touched:
-            instance = self._instances[number_]
+        for instance_number in self._addressed:
+            instance = self._instances[instance_number]
             events, instance.pending = instance.pending, []
             try:
-                actions = [encode(each) for each in instance.dispatcher.handle(now, events)]
+                actions = [encode(action) for action in instance.dispatcher.handle(now, events)]
             except Exception as error:  # the wire wants any failure of the decisions as Broken
                 actions = [{"t": "Broken", "text": f"{type(error).__name__}: {error}"}]
             for fields in actions:
                 tag = fields.pop("t")
-                lines.append(json.dumps({"t": tag, "i": number_, **fields}, separators=(",", ":")))
-        lines.append(json.dumps({"t": "Eor", "turn": turn}, separators=(",", ":")))
+                lines.append(_to_line({"t": tag, "i": instance_number, **fields}))
+        lines.append(_to_line({"t": "Eor", "turn": batch}))
         self._out.write("\n".join(lines) + "\n")
         self._out.flush()
 
 
+def _to_line(fields: Fields) -> str:
+    """Return a message as a line of JSON."""
+    return json.dumps(fields, separators=(",", ":"))
+
+
 def main() -> int:
-    """Host instances on standard input and output; 1 where the input broke the wire."""
+    """Host instances on standard input and output; return 1 where the input broke the wire."""
     sys.stdin.reconfigure(encoding="utf-8", errors="replace")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     try:
--- a/canvasbeam/data_plane/dispatcher_settings.py
+++ b/canvasbeam/data_plane/dispatcher_settings.py
@@ -42,10 +42,10 @@
         zones=regions,
         own_zone=settings.region,
         quantum_ns=QUANTUM_NS,
-        urgent_first=True,
+        priority_first=True,
         batches=True,
-        hold_share=HOLD_SHARE,
-        affinity_turns=MAX_FIRST_TOKEN_LEAD_TURNS,
+        early_rejection_share=HOLD_SHARE,
+        max_round_robin_lead=MAX_FIRST_TOKEN_LEAD_TURNS,
         limits=limits,
     )
 
--- a/canvasbeam/data_plane/shutdown.py
+++ b/canvasbeam/data_plane/shutdown.py
@@ -80,7 +80,7 @@
         span_ns = self._now_ns() - request.arrived_ns
         self._phases.record_service_time(request.route.kind.value, span_ns)
         if request.route.streams:
-            self._stream_times.served(request.route.name, span_ns, _tokens_out(request))
+            self._stream_times.learn(request.route.name, span_ns, _tokens_out(request))
 
     async def run(self, server: HttpServer, router: RequestRouter) -> None:
         """End in order; return when the process may exit."""
--- a/canvasbeam/dispatch/attempts.py
+++ b/canvasbeam/dispatch/attempts.py
@@ -43,7 +43,7 @@
         self._limits = limits
         self._late_starts = late_starts
         self._timeouts = timeouts
-        self._governor = context.governor
+        self._fleet_limits = context.fleet_limits
         self._engines = context.engines
         self._may_cancel = context.settings.limits.cancel
 
@@ -69,9 +69,9 @@
     def _notify_sent(self, attempt: TrackedAttempt, now: int) -> None:
         """Tell the limits over all dispatchers, and what is expected of workers, of an attempt."""
         request, worker = attempt.request, attempt.worker
-        if self._governor is not None:
+        if self._fleet_limits is not None:
             is_retry = request.counted_attempts() > 0 or request.event.repeat
-            self._governor.sent(now, worker.kind, worker.name, is_retry)
+            self._fleet_limits.sent(now, worker.kind, worker.name, is_retry)
         if self._engines is not None:
             self._engines.sent(now, worker.entry, request.event)
 
--- a/canvasbeam/dispatch/dispatcher.py
+++ b/canvasbeam/dispatch/dispatcher.py
@@ -14,7 +14,7 @@
 from dataclasses import replace
 
 from canvasbeam.dispatch.actions import Action, SetTimer
-from canvasbeam.dispatch.collaborators import EngineModel, Governor
+from canvasbeam.dispatch.collaborators import EngineModel, FleetLimiter
 from canvasbeam.dispatch.events import (
     AttemptEnded,
     AttemptProgressed,
@@ -48,18 +48,18 @@
         self,
         settings: Settings,
         seed: int,
-        governor: Governor | None = None,
+        fleet_limits: FleetLimiter | None = None,
         engines: EngineModel | None = None,
     ) -> None:
         """Decide by these settings; `seed` draws the order of workers that join together.
 
-        `governor` keeps limits over all dispatchers, and `engines` what is expected of language models' workers.
+        `fleet_limits` keeps limits over all dispatchers, and `engines` what is expected of language models' workers.
         """
         self._settings = settings
-        self._governor = governor
+        self._fleet_limits = fleet_limits
         self._engines = engines
         self._classes = {known.name: known for known in settings.classes}
-        self._parts = DispatcherParts(settings, seed, governor, engines)
+        self._parts = DispatcherParts(settings, seed, fleet_limits, engines)
 
     def handle(self, now: int, events: Sequence[Event]) -> list[Action]:
         """Take the events that came in at this time and return what to do; a request without action is pending."""
@@ -127,9 +127,9 @@
 
     def _notify_listed(self, event: WorkersListed, now: int) -> None:
         """Tell the limits over all dispatchers, and what is expected of workers, what discovery lists."""
-        if self._governor is not None:
+        if self._fleet_limits is not None:
             for entry in event.entries:
-                self._governor.listed(now, entry)
+                self._fleet_limits.listed(now, entry)
         if self._engines is not None:
             for entry in event.entries:
                 self._engines.listed(now, entry)
@@ -140,9 +140,9 @@
         """Take a request: enqueue it, or answer at once where its deadline is too close."""
         parts, now = self._parts, self._parts.current.now
         request = self._track(event, now)
-        if self._governor is not None:
-            self._governor.arrived(now, request.request_class.kind or "")
-        if self._settings.hold_share and request.first_arrived_at < now - RETRY_MARGIN_NS:
+        if self._fleet_limits is not None:
+            self._fleet_limits.arrived(now, request.request_class.kind or "")
+        if self._settings.early_rejection_share and request.first_arrived_at < now - RETRY_MARGIN_NS:
             request.was_rejected_before = True
             request.first_arrived_at = now
         parts.requests.add(request)
--- a/canvasbeam/dispatch/fleet_limits.py
+++ b/canvasbeam/dispatch/fleet_limits.py
@@ -1,7 +1,7 @@
 """Limits on the sum over all schedulers: retries to a service, and requests to a worker that warms up.
 
-Pure: events and the time in whole nanoseconds in, answers out; no I/O, no clock. `FleetLimits` is the `Governor` of one
-scheduler. It keeps to a share of each limit that needs no message, so that no loss, network partition or delay can
+Pure: events and the time in whole nanoseconds in, answers out; no I/O, no clock. `FleetLimits` is the `FleetLimiter` of
+one scheduler. It keeps to a share of each limit that needs no message, so that no loss, network partition or delay can
 break the sum.
 
 | limit, over all schedulers | the quota share of one scheduler |
@@ -115,7 +115,7 @@
 
 
 class FleetLimits:
-    """One scheduler's quota share of all limits; a `Governor`. All instants are nanoseconds of one monotonic clock."""
+    """One scheduler's quota share of all limits; a `FleetLimiter`. Instants are nanoseconds of one monotonic clock."""
 
     def __init__(
         self,
@@ -175,9 +175,9 @@
         """Count a request of a client."""
         self._requests.setdefault(kind, WindowCount(self._retry.window_ns)).add(now)
 
-    def sent(self, now: int, kind: str, worker: str, repeat: bool) -> None:
+    def sent(self, now: int, kind: str, worker: str, is_retry: bool) -> None:
         """Count a request sent to a worker."""
-        if repeat:
+        if is_retry:
             self._retries.setdefault(kind, WindowCount(self._retry.window_ns)).add(now)
         state = self._workers.get(worker)
         if state is not None:
@@ -188,7 +188,7 @@
 
     # --- decisions --------------------------------------------------------------------------------
 
-    def may_repeat(self, now: int, kind: str) -> bool:
+    def may_retry(self, now: int, kind: str) -> bool:
         """Return whether one more retry for a service fits in this scheduler's share."""
         requests = self._requests.get(kind)
         retries = self._retries.get(kind)
@@ -199,7 +199,7 @@
         slack = self._retry.slack / schedulers if schedulers else 0.0
         return spent + 1 <= SAFETY_FACTOR * (earned + slack)
 
-    def may_send_cold(self, now: int, worker: str) -> bool:
+    def may_send_while_warming_up(self, now: int, worker: str) -> bool:
         """Return whether a worker is warm, or this scheduler's token bucket for it holds a request."""
         state = self._workers.get(worker)
         if state is None or now >= state.warming_until or self._fleet_limit_per_s(state) <= 0:
--- a/canvasbeam/dispatch/language_model/expectations.py
+++ b/canvasbeam/dispatch/language_model/expectations.py
@@ -85,12 +85,12 @@
 
     # --- decisions --------------------------------------------------------------------------------
 
-    def has_room(self, now: int, entry: WorkerEntry, job: RequestArrived, aim_left_ns: int) -> bool:
+    def has_capacity(self, now: int, entry: WorkerEntry, request: RequestArrived, time_left_ns: int) -> bool:
         """Return whether the worker can start the request within its latency target, or else without harm to others.
 
-        `aim_left_ns` is the time left until the target, negative after it.
+        `time_left_ns` is the time left until the target, negative after it.
         """
-        prompt = job.prompt
+        prompt = request.prompt
         capacity = self._capacities.get(entry.kind)
         if prompt is None or capacity is None:
             return True
@@ -105,23 +105,23 @@
             return False
         backlog_ns = worker.prefill_queue.backlog_ns(now)
         idle_worker_ns = worker.round_trip_ns + self._prefill_ns(entry, worker, prompt)
-        if idle_worker_ns > aim_left_ns:
+        if idle_worker_ns > time_left_ns:
             return backlog_ns <= MAX_LATE_BACKLOG_NS  # it is late even at an idle worker
-        return backlog_ns + idle_worker_ns <= max(TARGET_FRACTION * aim_left_ns, idle_worker_ns)
+        return backlog_ns + idle_worker_ns <= max(TARGET_FRACTION * time_left_ns, idle_worker_ns)
 
-    def first_token_ns(self, now: int, entry: WorkerEntry, job: RequestArrived) -> float:
+    def first_token_ns(self, now: int, entry: WorkerEntry, request: RequestArrived) -> float:
         """Return the expected time to first token in nanoseconds; 0 where nothing is known."""
         worker = self._workers.get(entry.worker)
-        if worker is None or job.prompt is None or entry.kind not in self._capacities:
+        if worker is None or request.prompt is None or entry.kind not in self._capacities:
             return 0.0
-        prefill_ns = self._prefill_ns(entry, worker, job.prompt)
+        prefill_ns = self._prefill_ns(entry, worker, request.prompt)
         event_gap_ns = worker.event_gaps.gap_ns(now)
         backlog_ns = worker.prefill_queue.backlog_ns(now)
         return worker.round_trip_ns + backlog_ns + prefill_ns + EVENT_GAPS_BEFORE_FIRST_TOKEN * event_gap_ns
 
-    def expected_ns(self, worker: str, job: str) -> int:
+    def expected_ns(self, worker: str, request_id: str) -> int:
         """Return the time to first token that was expected when a request was sent, in nanoseconds, or 0."""
-        _, attempt = self._attempt(worker, job)
+        _, attempt = self._attempt(worker, request_id)
         return round(attempt.first_token_ns) if attempt is not None else 0
 
     def event_gap_to_report_ns(self, now: int, worker: str) -> float:
@@ -131,9 +131,9 @@
 
     # --- own attempts -----------------------------------------------------------------------------
 
-    def sent(self, now: int, entry: WorkerEntry, job: RequestArrived) -> None:
+    def sent(self, now: int, entry: WorkerEntry, request: RequestArrived) -> None:
         """Take a request that was sent to the worker."""
-        prompt = job.prompt
+        prompt = request.prompt
         if prompt is None or entry.kind not in self._capacities:
             return
         worker = self._worker(entry)
@@ -141,14 +141,14 @@
         wait_ns = worker.prefill_queue.backlog_ns(now)
         expected_ns = worker.round_trip_ns + wait_ns + prefill_tokens * self._prefill_speeds.ns_per_token(worker.kind)
         kv_cache_tokens = _kv_cache_tokens(prompt)
-        worker.attempts[job.request_id] = ModelAttempt(now, prefill_tokens, kv_cache_tokens, wait_ns, expected_ns)
-        self._enqueue(worker, job.request_id, prompt, prefill_tokens)
+        worker.attempts[request.request_id] = ModelAttempt(now, prefill_tokens, kv_cache_tokens, wait_ns, expected_ns)
+        self._enqueue(worker, request.request_id, prompt, prefill_tokens)
         if self.on_attempt is not None:
             self.on_attempt(entry, prompt)
 
-    def started(self, now: int, worker: str, job: str) -> None:
+    def started(self, now: int, worker: str, request_id: str) -> None:
         """Take a request's first token: the prefill of its prompt, and of all prompts before it, is over."""
-        model, attempt = self._attempt(worker, job)
+        model, attempt = self._attempt(worker, request_id)
         if model is None or attempt is None or attempt.has_first_token:
             return
         attempt.has_first_token = True
@@ -160,7 +160,7 @@
             model.round_trip_ns = learn_first_token(
                 self._prefill_speeds, model.kind, model.round_trip_ns, attempt.prefill_tokens, latency_ns
             )
-        model.prefill_queue.finish(now, job, max(0.0, latency_ns - attempt.first_token_ns))
+        model.prefill_queue.finish(now, request_id, max(0.0, latency_ns - attempt.first_token_ns))
 
     def note_event_gap(self, now: int, worker: str, event_gap_ns: float) -> None:
         """Take an event of an own stream from the worker, which came this long after the one before it."""
@@ -169,13 +169,13 @@
             model.output_at = now
             model.event_gaps.learn_own(now, event_gap_ns)
 
-    def ended(self, now: int, worker: str, job: str) -> None:
+    def ended(self, now: int, worker: str, request_id: str) -> None:
         """Take the end of an attempt: the request no longer occupies the worker."""
-        model, attempt = self._attempt(worker, job)
+        model, attempt = self._attempt(worker, request_id)
         if model is not None and attempt is not None:
-            del model.attempts[job]
+            del model.attempts[request_id]
             if not attempt.has_first_token:
-                model.prefill_queue.cancel(now, job)
+                model.prefill_queue.cancel(now, request_id)
 
     # --- discovery and other schedulers -----------------------------------------------------------
 
@@ -212,9 +212,9 @@
             self._workers[entry.worker] = worker
         return worker
 
-    def _attempt(self, worker: str, job: str) -> tuple[WorkerModel | None, ModelAttempt | None]:
+    def _attempt(self, worker: str, request_id: str) -> tuple[WorkerModel | None, ModelAttempt | None]:
         model = self._workers.get(worker)
-        return model, model.attempts.get(job) if model is not None else None
+        return model, model.attempts.get(request_id) if model is not None else None
 
     def _report_timeout(self, now: int, entry: WorkerEntry, worker: WorkerModel) -> None:
         """Report a worker without any output, so that other schedulers need not lose a request each to it."""
@@ -229,9 +229,9 @@
         prefill_tokens = prompt.tokens_in - worker.prefix_cache.cached_tokens(prompt)
         return prefill_tokens * self._prefill_speeds.ns_per_token(entry.kind)
 
-    def _enqueue(self, worker: WorkerModel, request: str, prompt: PromptEstimate, prefill_tokens: int) -> None:
+    def _enqueue(self, worker: WorkerModel, request_id: str, prompt: PromptEstimate, prefill_tokens: int) -> None:
         """Add a prompt to the worker's prefill queue, and its parts to the prefix cache."""
-        worker.prefill_queue.add(request, prefill_tokens * self._prefill_speeds.ns_per_token(worker.kind))
+        worker.prefill_queue.add(request_id, prefill_tokens * self._prefill_speeds.ns_per_token(worker.kind))
         max_cached_tokens = PREFIX_CACHE_FRACTION * self._capacities[worker.kind].kv_cache_tokens
         worker.prefix_cache.insert(prompt, max_cached_tokens)
 
--- a/canvasbeam/dispatch/language_model/prefill_queue.py
+++ b/canvasbeam/dispatch/language_model/prefill_queue.py
@@ -19,9 +19,9 @@
 
 @dataclass(slots=True)
 class PendingPrefill:
-    """A prompt that waits for its prefill, or is in it; `request` is `OTHER_SCHEDULER` for one of another scheduler."""
+    """A prompt in prefill or before it; `request_id` is `OTHER_SCHEDULER` for one of another scheduler."""
 
-    request: str
+    request_id: str
     remaining_ns: float
 
 
@@ -36,9 +36,9 @@
         self._unexpected_delay_ns = 0.0  # as of `_delay_at`
         self._delay_at = 0
 
-    def add(self, request: str, prefill_ns: float) -> None:
+    def add(self, request_id: str, prefill_ns: float) -> None:
         """Append a prompt whose prefill takes this time."""
-        self._pending.append(PendingPrefill(request, prefill_ns))
+        self._pending.append(PendingPrefill(request_id, prefill_ns))
 
     def drain(self, now: int) -> None:
         """Take off the prefill that should be done by now; own prompts stay, with 0 ns, until their first token."""
@@ -50,7 +50,7 @@
             elapsed_ns -= done_ns
             if elapsed_ns <= 0:
                 break
-        while self._pending and not self._pending[0].request and self._pending[0].remaining_ns <= 0:
+        while self._pending and not self._pending[0].request_id and self._pending[0].remaining_ns <= 0:
             self._pending.popleft()
 
     def backlog_ns(self, now: int) -> float:
@@ -59,25 +59,25 @@
         waiting_ns = sum([prefill.remaining_ns for prefill in self._pending])
         return waiting_ns + self._unexpected_delay_ns * exp((self._delay_at - now) / DELAY_DECAY_NS)
 
-    def finish(self, now: int, request: str, unexpected_delay_ns: float) -> None:
+    def finish(self, now: int, request_id: str, unexpected_delay_ns: float) -> None:
         """Take off a prompt whose first token came, and those of other schedulers that were sent before it.
 
         The first token came later than expected by `unexpected_delay_ns`, which is at least 0.
         """
         self._unexpected_delay_ns, self._delay_at = unexpected_delay_ns, now
         self.drain(now)
-        if not any(prefill.request == request for prefill in self._pending):
+        if not any(prefill.request_id == request_id for prefill in self._pending):
             return
         is_before = True
         remaining: deque[PendingPrefill] = deque()
         for prefill in self._pending:
-            if prefill.request == request:
+            if prefill.request_id == request_id:
                 is_before = False
-            elif prefill.request or not is_before:
+            elif prefill.request_id or not is_before:
                 remaining.append(prefill)
         self._pending = remaining
 
-    def cancel(self, now: int, request: str) -> None:
+    def cancel(self, now: int, request_id: str) -> None:
         """Take off a prompt that ended before its first token."""
         self.drain(now)
-        self._pending = deque(prefill for prefill in self._pending if prefill.request != request)
+        self._pending = deque(prefill for prefill in self._pending if prefill.request_id != request_id)
--- a/canvasbeam/dispatch/part_context.py
+++ b/canvasbeam/dispatch/part_context.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from canvasbeam.dispatch.collaborators import EngineModel, Governor
+from canvasbeam.dispatch.collaborators import EngineModel, FleetLimiter
 from canvasbeam.dispatch.current_pass import CurrentPass
 from canvasbeam.dispatch.records import FleetTraits
 from canvasbeam.dispatch.service_estimates import ServiceEstimates
@@ -21,5 +21,5 @@
     timers: SweepTimers
     fleet: FleetTraits
     estimates: ServiceEstimates
-    governor: Governor | None = None  # limits over all dispatchers
+    fleet_limits: FleetLimiter | None = None  # limits over all dispatchers
     engines: EngineModel | None = None  # expectations of language models' workers
--- a/canvasbeam/dispatch/parts.py
+++ b/canvasbeam/dispatch/parts.py
@@ -9,7 +9,7 @@
 
 from canvasbeam.dispatch.attempt_outcomes import AttemptOutcomes
 from canvasbeam.dispatch.attempts import Attempts
-from canvasbeam.dispatch.collaborators import EngineModel, Governor
+from canvasbeam.dispatch.collaborators import EngineModel, FleetLimiter
 from canvasbeam.dispatch.concurrency_limits import ConcurrencyLimits
 from canvasbeam.dispatch.current_pass import CurrentPass
 from canvasbeam.dispatch.endpoint_set import EndpointSet
@@ -39,17 +39,21 @@
 class DispatcherParts:
     """The parts of one dispatcher; the package's docstring says what each owns."""
 
-    def __init__(self, settings: Settings, seed: int, governor: Governor | None, engines: EngineModel | None) -> None:
+    def __init__(
+        self, settings: Settings, seed: int, fleet_limits: FleetLimiter | None, engines: EngineModel | None
+    ) -> None:
         self.current = CurrentPass()
         self.timers = SweepTimers(settings, self.current)
         self.fleet = FleetTraits()
         self.estimates = ServiceEstimates(settings)
-        self._context = PartContext(settings, self.current, self.timers, self.fleet, self.estimates, governor, engines)
+        self._context = PartContext(
+            settings, self.current, self.timers, self.fleet, self.estimates, fleet_limits, engines
+        )
         # How long before its deadline a request is answered, so that the answer cannot cross the time-out.
         self.answer_margin_ns = self.timers.shortest_ns + settings.quantum_ns
         self.endpoints = EndpointSet(settings, seed, self.fleet)
         self._make_estimates(settings)
-        self._make_limits(settings, governor)
+        self._make_limits(settings, fleet_limits)
         self._make_choice()
         self._make_request_flow(settings)
         self._make_sweeps()
@@ -61,9 +65,9 @@
         self.late_starts = LateStarts(settings, self.estimates, self.fleet, self.timers.shortest_ns)
         self.timeouts = ResponseTimeouts(settings, self.estimates, self.fleet)
 
-    def _make_limits(self, settings: Settings, governor: Governor | None) -> None:
+    def _make_limits(self, settings: Settings, fleet_limits: FleetLimiter | None) -> None:
         """Make what limits sends: retries, quotas, concurrency, slow start, ejection."""
-        self.retries = RetryPolicy(settings.limits, self.timers.shortest_ns, governor)
+        self.retries = RetryPolicy(settings.limits, self.timers.shortest_ns, fleet_limits)
         self.quotas = TenantQuotas(settings.tenants, settings.dispatchers)
         self.limits = ConcurrencyLimits(self.estimates)
         self.slow_start = SlowStart(settings, self.estimates, self.queues, self.endpoints.workers, self.fleet)
--- a/canvasbeam/dispatch/pending_queue.py
+++ b/canvasbeam/dispatch/pending_queue.py
@@ -32,7 +32,7 @@
         self._timers = timers
         self._estimates = estimates
         self._classes = settings.classes
-        self._priority_first = settings.urgent_first
+        self._priority_first = settings.priority_first
         self._value_by_work = settings.value_by_work
         self._requests: list[TrackedRequest] = []
         self._arrivals = 0
--- a/canvasbeam/dispatch/request_sweep.py
+++ b/canvasbeam/dispatch/request_sweep.py
@@ -90,7 +90,7 @@
 
     def _early_rejection_at(self, request: TrackedRequest) -> float:
         """Return when a request has been pending for the share of its latency target that the settings permit."""
-        share = self._settings.hold_share
+        share = self._settings.early_rejection_share
         if not share or request.was_rejected_before:
             return inf
         return request.pending_since + round(share * request.request_class.latency_target_ns)
--- a/canvasbeam/dispatch/settings.py
+++ b/canvasbeam/dispatch/settings.py
@@ -13,7 +13,7 @@
 
 
 class Effect(Enum):
-    """What running a job of a class twice would do."""
+    """What running a request of a class twice would do."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -21,7 +21,7 @@
 
 
 class Scope(Enum):
-    """The group of workers that drops a keyed job's repeats."""
+    """The group of workers that drop each other's retries of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -61,16 +61,19 @@
 
 
 def _require(condition: bool, name: str, rule: str) -> None:
+    """Raise a `ValueError` that names a field where its rule is broken."""
     if not condition:
         raise ValueError(f"{name} {rule}")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of jobs. An answer in time is one within `latency_target_ns` plus `stretch` times the job's own work.
+    """One class of requests; raises `ValueError` where a field is out of range.
 
-    `max_attempts` is the number of workers that one job may be sent to, or 0 for that of the limits. `homes` are the
-    zones in which the class may run, or none where it may run in all.
+    An answer in time comes within `latency_target_ns` plus `stretch` times the request's own work, and has the `value`;
+    a later one has `late_value` (0 to 1) of it. A keyed request may be sent again within `window_ns` of its first
+    attempt. `max_attempts` is the number of workers that a request may be sent to, or 0 for that of the limits. `homes`
+    are the zones in which the class may run, or none where it may run in all.
     """
 
     name: str
@@ -140,24 +143,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures behind the four rules."""
+    """What the workers bear, and what the rules allow; raises `ValueError` where a field is out of range.
+
+    A worker that starts bears `initial_share` (above 0, up to 1) of its capacity, growing evenly over `warm_up_ns`. It
+    is overloaded by `overload_multiple` times its capacity within `overload_window_ns`. A worker that drains may be
+    sent requests for `drain_grace_ns`; an answer may be `answer_slack_ns` late; a complete endpoint list may be asked
+    for every `list_interval_ns`.
+    """
 
     answer_slack_ns: int = 0
     drain_grace_ns: int = 0
-    cold_from: float = 1.0
-    warm_within_ns: int = 0
-    tip_multiple: float = 1.0
-    overload_for_ns: int = 0
-    ask_every_ns: int = 0
+    initial_share: float = 1.0
+    warm_up_ns: int = 0
+    overload_multiple: float = 1.0
+    overload_window_ns: int = 0
+    list_interval_ns: int = 0
 
     def __post_init__(self) -> None:
         _require(self.answer_slack_ns >= 0, "answer_slack_ns", "must not be negative")
         _require(self.drain_grace_ns >= 0, "drain_grace_ns", "must not be negative")
-        _require(0 < self.cold_from <= 1, "cold_from", "must lie above 0 and not above 1")
-        _require(self.warm_within_ns >= 0, "warm_within_ns", "must not be negative")
-        _require(self.tip_multiple > 0, "tip_multiple", "must be positive")
-        _require(self.overload_for_ns >= 0, "overload_for_ns", "must not be negative")
-        _require(self.ask_every_ns >= 0, "ask_every_ns", "must not be negative")
+        _require(0 < self.initial_share <= 1, "initial_share", "must lie above 0 and not above 1")
+        _require(self.warm_up_ns >= 0, "warm_up_ns", "must not be negative")
+        _require(self.overload_multiple > 0, "overload_multiple", "must be positive")
+        _require(self.overload_window_ns >= 0, "overload_window_ns", "must not be negative")
+        _require(self.list_interval_ns >= 0, "list_interval_ns", "must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
@@ -172,12 +181,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a dispatcher is told at its start.
+    """All that a dispatcher is told at its start; raises `ValueError` where a field is out of range.
 
-    With `classes_later` it may start without classes: `ClassesChanged` brings them. With `urgent_first` held jobs of a
-    higher priority go before all others. With `batches` workers run many jobs at once, so one that has not begun does
-    not show its worker full; who is heard of no more is rested. A job that finds no worker for `hold_share` of its aim
-    is refused, where that is not 0. A worker with a sooner first token may be `affinity_turns` ahead of the others.
+    With `classes_later` it may start without classes: `ClassesChanged` brings them. With `priority_first` pending
+    requests of a higher priority go before all others. With `batches` workers run many requests at once, so one that
+    has not begun does not show its worker full, and a worker without any sign is ejected. A request that finds no
+    worker for `early_rejection_share` of its latency target is rejected, where that is not 0. A worker with a sooner
+    first token may be `max_round_robin_lead` turns ahead of the others. The sweep runs every few `quantum_ns`.
     """
 
     classes: tuple[RequestClass, ...]
@@ -203,10 +213,10 @@
     goal: Goal = Goal()
     prices: Mapping[str, float] = field(default_factory=dict)
     classes_later: bool = False
-    urgent_first: bool = False
+    priority_first: bool = False
     batches: bool = False
-    hold_share: float = 0.0
-    affinity_turns: float = 0.0
+    early_rejection_share: float = 0.0
+    max_round_robin_lead: float = 0.0
 
     def __post_init__(self) -> None:
         _require(bool(self.classes) or self.classes_later, "classes", "must name at least one class")
@@ -216,13 +226,14 @@
         _require(self.own_number >= 0, "own_number", "must not be negative")
         _require(self.quantum_ns > 0, "quantum_ns", "must be positive")
         _require(self.progress_ns >= 0, "progress_ns", "must not be negative")
-        _require(self.hold_share >= 0, "hold_share", "must not be negative")
-        _require(self.affinity_turns >= 0, "affinity_turns", "must not be negative")
+        _require(self.early_rejection_share >= 0, "early_rejection_share", "must not be negative")
+        _require(self.max_round_robin_lead >= 0, "max_round_robin_lead", "must not be negative")
 
 
 def check_classes(classes: Sequence[RequestClass], kinds: Sequence[str]) -> None:
-    """Classes are named once, and each asks for a known kind of worker."""
-    names = [each.name for each in classes]
+    """Raise `ValueError` where a class is named twice, or asks for a kind of worker that is not known."""
+    names = [request_class.name for request_class in classes]
     _require(len(set(names)) == len(names), "classes", "must not name a class twice")
-    for each in classes:
-        _require(each.kind is None or each.kind in kinds, "classes.kind", "must be one of kinds")
+    for request_class in classes:
+        is_known = request_class.kind is None or request_class.kind in kinds
+        _require(is_known, "classes.kind", "must be one of kinds")
--- a/canvasbeam/dispatch/settings_json.py
+++ b/canvasbeam/dispatch/settings_json.py
@@ -1,13 +1,14 @@
-"""The settings of a scheduler read from JSON, and the names of load-report values.
+"""Read the settings of a dispatcher from JSON, and the names of load-report values.
 
-Shared by the simulator's adapter and the real scheduler, which are told the same object. It decides nothing.
+The simulator's adapter and the scheduler in service are told the same object; its names are translated here alone.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from typing import Any
+from typing import TypeVar, cast
 
+from canvasbeam.dispatch.json_fields import Fields, choice, number, required, section, text, whole_number
 from canvasbeam.dispatch.settings import (
     Discovery,
     DispatchLimits,
@@ -23,15 +24,10 @@
     Weights,
 )
 
-Fields = dict[str, Any]
-
-
-class WireError(Exception):
-    """The peer broke the wire; the message names what was wrong."""
-
+_Number = TypeVar("_Number", int, float)
 
 EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
-SCOPES = {each.value: each for each in Scope}
+SCOPES = {scope.value: scope for scope in Scope}
 REPORT_FIELDS = {
     "rif": "in_flight",
     "q": "queued",
@@ -52,130 +48,86 @@
 REPORT_EXTRAS = {"free slots": "free_slots", "free memory": "free_memory"}
 DISCOVERY = {"pushed": Discovery.PUSHED, "on_request": Discovery.ASKED}
 REPORT_HOW = {"answers": ReportHow.ANSWERS, "probe": ReportHow.PROBES, "none": ReportHow.NONE}
-QUEUE_ORDERS = {each.value: each for each in QueueOrder}
-WEIGHTS = {each.value: each for each in Weights}
-
-
-# --- reading fields ---------------------------------------------------------------------------
-
-
-def need(fields: Fields, name: str) -> Any:
-    """A field that must be there."""
-    value = fields.get(name)
-    if value is None:
-        raise WireError(f"{fields.get('t', 'settings')}: field {name} is missing")
-    return value
-
-
-def whole(fields: Fields, name: str, default: int | None = None) -> int:
-    """A whole number; required where no default is given."""
-    value = need(fields, name) if default is None else fields.get(name)
-    if value is None:
-        return int(default or 0)
-    if isinstance(value, bool) or not isinstance(value, int):
-        raise WireError(f"{fields.get('t', 'settings')}: field {name} is not a whole number")
-    return value
-
-
-def number(fields: Fields, name: str, default: float) -> float:
-    """A number with a default."""
-    value = fields.get(name)
-    if value is None:
-        return default
-    if isinstance(value, bool) or not isinstance(value, int | float):
-        raise WireError(f"{fields.get('t', 'settings')}: field {name} is not a number")
-    return float(value)
-
-
-def word(fields: Fields, name: str) -> str:
-    """A required text."""
-    value = need(fields, name)
-    if not isinstance(value, str):
-        raise WireError(f"{fields.get('t', 'settings')}: field {name} is not a text")
-    return value
-
-
-def one_of(fields: Fields, name: str, words: dict[Any, Any], default: Any = None) -> Any:
-    """A field that takes one of a few words or codes."""
-    value = fields.get(name) if default is not None else need(fields, name)
-    if value is None:
-        return default
-    if isinstance(value, list | dict) or value not in words:
-        raise WireError(f"{fields.get('t', 'settings')}: field {name} has the unknown value {value!r}")
-    return words[value]
-
-
-def section(fields: Fields, name: str) -> Fields:
-    """A nested object; empty where it is absent."""
-    value = fields.get(name)
-    if value is None:
-        return {}
-    if not isinstance(value, dict):
-        raise WireError(f"settings: {name} is not an object")
-    return value
-
-
-# --- settings ---------------------------------------------------------------------------------
+QUEUE_ORDERS = {order.value: order for order in QueueOrder}
+WEIGHTS = {weights.value: weights for weights in Weights}
 
 
 def read_class(fields: Fields, place: int, family: Fields, kinds: tuple[str, ...]) -> RequestClass:
-    """One entry of the settings' classes; some of its properties stand in lists by class."""
-
-    def listed(name: str, default: Any) -> Any:
-        values = family.get(name) or []
-        return values[place] if place < len(values) else default
-
-    kind = listed("classKind", -1)
+    """Return one entry of the settings' classes; some of its properties stand in lists by class."""
+    kind = _in_list(family, "classKind", place, -1)
     return RequestClass(
-        name=word(fields, "name"),
-        latency_target_ns=whole(fields, "aimNs"),
-        deadline_ns=whole(fields, "deadlineNs"),
+        name=text(fields, "name"),
+        latency_target_ns=whole_number(fields, "aimNs"),
+        deadline_ns=whole_number(fields, "deadlineNs"),
         value=number(fields, "worth", 1.0),
         late_value=number(fields, "lateShare", 0.0),
-        effect=one_of(fields, "idempotency", EFFECTS),
-        scope=one_of(fields, "keyScope", SCOPES, Scope.ALL),
-        window_ns=whole(fields, "windowNs", 0),
+        effect=choice(fields, "idempotency", EFFECTS),
+        scope=choice(fields, "keyScope", SCOPES, Scope.ALL),
+        window_ns=whole_number(fields, "windowNs", 0),
         streams=bool(fields.get("streaming")),
         kind=kinds[kind] if 0 <= kind < len(kinds) else None,
-        priority=listed("classPriority", 0),
-        stretch=number(fields, "aimStretch", float(listed("classStretch", 0.0))),
+        priority=_in_list(family, "classPriority", place, 0),
+        stretch=number(fields, "aimStretch", float(_in_list(family, "classStretch", place, 0.0))),
     )
 
 
+def _in_list(family: Fields, name: str, place: int, default: _Number) -> _Number:
+    """Return the property of a class that stands at its place in a list."""
+    values: list[_Number] = family.get(name) or []
+    return values[place] if place < len(values) else default
+
+
 def read_limits(fields: Fields) -> DispatchLimits:
-    """What the site permits."""
+    """Return what the deployment permits."""
     return DispatchLimits(
         cancel=bool(fields.get("cancel")),
         probes=bool(fields.get("probes")),
         peers=bool(fields.get("peers")),
         second_copies=bool(fields.get("secondCopies")),
         retry_advice=bool(fields.get("retryAfter")),
-        max_attempts=whole(fields, "mostTries", 1),
-        max_open=whole(fields, "maxOpen", 10_000),
-        max_retry_advice_ns=whole(fields, "maxRetryAfterNs", 0),
-        connect_timeout_ns=whole(fields, "connectTimeoutNs", 250_000_000),
-        idle_connection_ns=whole(fields, "connIdleNs", 0),
-        attempts_per_connection=whole(fields, "streamsPerConn", 1),
+        max_attempts=whole_number(fields, "mostTries", 1),
+        max_open=whole_number(fields, "maxOpen", 10_000),
+        max_retry_advice_ns=whole_number(fields, "maxRetryAfterNs", 0),
+        connect_timeout_ns=whole_number(fields, "connectTimeoutNs", 250_000_000),
+        idle_connection_ns=whole_number(fields, "connIdleNs", 0),
+        attempts_per_connection=whole_number(fields, "streamsPerConn", 1),
         cpu_us_per_s=number(fields, "cpuUsPerS", 0.0),
         cpu_us_per_request=number(fields, "cpuUsPerRequest", 0.0),
     )
 
 
 def read_rules(fields: Fields) -> Rules:
-    """The figures behind the rules."""
+    """Return the figures behind the rules."""
     return Rules(
-        answer_slack_ns=whole(fields, "answerSlackNs", 0),
-        drain_grace_ns=whole(fields, "stopSendingWithinNs", 0),
-        cold_from=number(fields, "coldFrom", 1.0),
-        warm_within_ns=whole(fields, "warmWithinNs", 0),
-        tip_multiple=number(fields, "tipMultiple", 1.0),
-        overload_for_ns=whole(fields, "overloadForNs", 0),
-        ask_every_ns=whole(fields, "askEveryNs", 0),
+        answer_slack_ns=whole_number(fields, "answerSlackNs", 0),
+        drain_grace_ns=whole_number(fields, "stopSendingWithinNs", 0),
+        initial_share=number(fields, "coldFrom", 1.0),
+        warm_up_ns=whole_number(fields, "warmWithinNs", 0),
+        overload_multiple=number(fields, "tipMultiple", 1.0),
+        overload_window_ns=whole_number(fields, "overloadForNs", 0),
+        list_interval_ns=whole_number(fields, "askEveryNs", 0),
+    )
+
+
+def read_goal(fields: Fields) -> Goal:
+    """Return how much each part of the result weighs."""
+    return Goal(
+        number(fields, "whole", 0.0),
+        number(fields, "worstWindow", 0.0),
+        number(fields, "worstClass", 0.0),
+        number(fields, "worstTenant", 0.0),
+    )
+
+
+def read_tenants(entries: Iterable[Fields]) -> tuple[Tenant, ...]:
+    """Return the tenants and their shares."""
+    return tuple(
+        Tenant(text(entry, "name"), number(entry, "share", 0.0), number(entry, "quotaPerS", 0.0)) for entry in entries
     )
 
 
 def report_names(columns: Iterable[str], family: Fields) -> dict[str, str]:
-    """What each value of a load report is called here."""
+    """Return what each value of a load report is called here."""
     names: dict[str, str] = dict(REPORT_FIELDS)
     for column in ("x0", "x1"):
         meaning = family.get("report" + column.upper())
@@ -184,48 +136,41 @@
 
 
 def plain_report_names(names: Mapping[str, str]) -> dict[str, str]:
-    """The names of report values on sockets: the plain ones, and those that the settings name."""
+    """Return the names of report values on sockets: the plain ones, and those that the settings name."""
     return {**PLAIN_REPORT_FIELDS, **names}
 
 
 def read_settings(options: Fields) -> tuple[Settings, dict[str, str]]:
-    """The settings of an instance, and the names of its report values."""
+    """Return the settings of a dispatcher, and the names of its report values.
+
+    Raises `WireError` where a field is missing or of a wrong type, and `ValueError` where its value is out of range.
+    """
     family, report = section(options, "specifics"), section(options, "report")
     kinds = tuple(options.get("skus") or ())
-    goal = section(options, "goal")
     names = report_names(report.get("columns") or (), family)
+    classes = cast("list[Fields]", required(options, "services"))
     settings = Settings(
-        classes=tuple(
-            read_class(fields, place, family, kinds) for place, fields in enumerate(need(options, "services"))
-        ),
-        zones=tuple(need(options, "localities")),
-        own_zone=word(options, "myZone"),
-        tenants=tuple(
-            Tenant(word(each, "name"), number(each, "share", 0.0), number(each, "quotaPerS", 0.0))
-            for each in options.get("realms") or ()
-        ),
+        classes=tuple(read_class(fields, place, family, kinds) for place, fields in enumerate(classes)),
+        zones=tuple(cast("list[str]", required(options, "localities"))),
+        own_zone=text(options, "myZone"),
+        tenants=read_tenants(options.get("realms") or ()),
         kinds=kinds,
-        own_number=whole(options, "me", 0),
-        dispatchers=whole(options, "replicasOfMe", 1),
-        quantum_ns=whole(options, "quantumNs", 1_000_000),
-        discovery=one_of(options, "discovery", DISCOVERY, Discovery.PUSHED),
-        weights=one_of(options, "weights", WEIGHTS, Weights.NONE),
-        report_how=one_of(report, "how", REPORT_HOW, ReportHow.NONE),
+        own_number=whole_number(options, "me", 0),
+        dispatchers=whole_number(options, "replicasOfMe", 1),
+        quantum_ns=whole_number(options, "quantumNs", 1_000_000),
+        discovery=choice(options, "discovery", DISCOVERY, Discovery.PUSHED),
+        weights=choice(options, "weights", WEIGHTS, Weights.NONE),
+        report_how=choice(report, "how", REPORT_HOW, ReportHow.NONE),
         report_fields=tuple(names.values()),
         tells_start=bool(family.get("tellsStart")),
-        progress_ns=whole(family, "progressNs", 0),
-        queue_order=one_of(family, "queueOrder", QUEUE_ORDERS, QueueOrder.FIFO),
+        progress_ns=whole_number(family, "progressNs", 0),
+        queue_order=choice(family, "queueOrder", QUEUE_ORDERS, QueueOrder.FIFO),
         value_by_work=options.get("worthBy") == "work",
         over_quota_value=number(options, "overShareWorth", 1.0),
         marks_repeats=bool(section(options, "clientHabits").get("marksRetry")),
         limits=read_limits(section(options, "policyLimits")),
         rules=read_rules(section(options, "rules")),
-        goal=Goal(
-            number(goal, "whole", 0.0),
-            number(goal, "worstWindow", 0.0),
-            number(goal, "worstClass", 0.0),
-            number(goal, "worstTenant", 0.0),
-        ),
+        goal=read_goal(section(options, "goal")),
         prices={name: number(section(options, "prices"), name, 0.0) for name in section(options, "prices")},
     )
     return settings, names
--- a/canvasbeam/dispatch/slow_start.py
+++ b/canvasbeam/dispatch/slow_start.py
@@ -1,8 +1,10 @@
 """Limit what is sent to workers that warm up: slow start.
 
-Owns each worker's `recent`, `no_room_for` and `room_at`. All dispatchers together may push over a worker that has just
-started; each keeps to its part of what the worker can do within any window, counted in work. It must never read a
-clock; all times are nanoseconds on the clock of the events.
+All dispatchers together may overload a worker that has just started. Each keeps to its part of what the worker can do
+within any window, counted in work: expected service time times slots.
+
+Owns each worker's `recent`, `rejected_work` and `capacity_at`. It must never read a clock; all times are nanoseconds on
+the clock of the events.
 """
 
 from __future__ import annotations
@@ -15,13 +17,13 @@
 from canvasbeam.dispatch.service_estimates import ServiceEstimates
 from canvasbeam.dispatch.settings import Settings
 
-# The part of its share of a cold worker's budget that a dispatcher uses: sizes are only estimates.
-COLD_CAUTION = 0.7
-# Of it the dispatchers of its own zone share so much, where they are a crowd.
-COLD_OWN = 0.75
-# Where a dispatcher's part of a cold worker's budget is less than one job, they take turns: in each of so
-# many parts of the window only some may send it one. A window then overlaps one part too many at the most.
-COLD_PARTS = 8
+# The fraction of its part of a worker's budget that a dispatcher uses: service times are only estimates.
+SAFETY_FACTOR = 0.7
+# In a large fleet the dispatchers of a worker's own zone share this fraction of its budget.
+OWN_ZONE_FRACTION = 0.75
+# Where a dispatcher's part of a budget is less than one request, they take turns: in each of so many spans of the
+# window only some may send one. A window then overlaps one span too many at the most.
+SPANS_PER_WINDOW = 8
 
 
 class SlowStart:
@@ -44,97 +46,112 @@
         self._slots_of_kind: dict[str, float] = {}  # within a pass
 
     def begin_pass(self) -> None:
-        """Forget what was reckoned for the pass before."""
+        """Forget what was computed for the pass before."""
         self._slots_of_kind.clear()
 
     def share(self, worker: TrackedWorker, now: int) -> float:
-        """Return the share of its capacity that a worker has at the least, growing evenly to its warm time."""
+        """Return the fraction of its capacity that a worker has at least, growing evenly until it has warmed up."""
         rules = self._settings.rules
-        if worker.started_at <= 0 or rules.warm_within_ns <= 0:
+        if worker.started_at <= 0 or rules.warm_up_ns <= 0:
             return 1.0
-        age = (now - worker.started_at) / rules.warm_within_ns
-        return min(1.0, rules.cold_from + (1 - rules.cold_from) * max(0.0, age))
+        age = (now - worker.started_at) / rules.warm_up_ns
+        return min(1.0, rules.initial_share + (1 - rules.initial_share) * max(0.0, age))
 
     def count_work(self, worker: TrackedWorker, request: TrackedRequest, now: int) -> None:
-        """Count a request that is sent to a worker that warms up."""
+        """Count the work of a request that is sent to a worker, where that warms up."""
         if self.share(worker, now) < 1:
-            worker.recent.append((now, self._estimates.of_request_ns(request, worker) * request.slots))
+            worker.recent.append((now, self._work(worker, request)))
 
     def allows(self, worker: TrackedWorker, request: TrackedRequest, now: int) -> bool:
-        """Whether our part of a cold worker's budget has room for this job.
+        """Return whether our part of a worker's budget has capacity for this request.
 
-        All dispatchers together may push over a worker that has just started; each keeps to an
-        equal part of what it can do within any window, counted in work. What the worker refuses counts too.
+        What the worker rejects counts too.
         """
         share = self.share(worker, now)
         if share >= 1:
             worker.recent.clear()
             return True
-        rules = self._settings.rules
-        work = self._estimates.of_request_ns(request, worker) * request.slots
+        work = self._work(worker, request)
         if now < worker.capacity_at and work >= worker.rejected_work:
             return False
-        while worker.recent and worker.recent[0][0] <= now - rules.overload_for_ns:
-            worker.recent.popleft()
-        complete = rules.tip_multiple * self._comparable_slots(worker, now) * rules.overload_for_ns
+        self._forget_before_window(worker, now)
         parts = self._parts_of(worker)
-        part = COLD_CAUTION * complete / parts
+        part = SAFETY_FACTOR * self._complete_budget(worker, now) / parts
         if share * part < work <= share * part * parts:
             return self._has_turn(worker, work, share * part, now)
-        wanted = sum(each for _, each in worker.recent) + work
+        wanted = sum(sent_work for _, sent_work in worker.recent) + work
         if wanted > share * part:
-            worker.rejected_work, worker.capacity_at = work, self._room_at(worker, wanted / part, now)
+            worker.rejected_work = work
+            worker.capacity_at = self._capacity_at(worker, wanted / part, now)
         return wanted <= share * part
 
+    def _work(self, worker: TrackedWorker, request: TrackedRequest) -> float:
+        """Return the work of a request, in nanoseconds times slots."""
+        return self._estimates.of_request_ns(request, worker) * request.slots
+
+    def _forget_before_window(self, worker: TrackedWorker, now: int) -> None:
+        """Forget the work that was sent before the window that ends now."""
+        begin = now - self._settings.rules.overload_window_ns
+        while worker.recent and worker.recent[0][0] <= begin:
+            worker.recent.popleft()
+
+    def _complete_budget(self, worker: TrackedWorker, now: int) -> float:
+        """Return the work that all dispatchers may send to a worker within a window once it has warmed up."""
+        rules = self._settings.rules
+        return rules.overload_multiple * self._comparable_slots(worker, now) * rules.overload_window_ns
+
     def _parts_of(self, worker: TrackedWorker) -> float:
-        """Into how many parts like ours a cold worker's budget is cut.
+        """Return into how many parts like ours a worker's budget is divided.
 
-        Among a crowd equal parts leave three in four unused, those of other zones' dispatchers, and
-        a zone that returns whole sends its jobs away for as long as it is cold.
+        In a large fleet equal parts leave three in four unused, those of other zones' dispatchers, and
+        a zone that returns whole would send its requests away for as long as it warms up.
         """
         everybody, zones = self._settings.dispatchers, len(self._settings.zones)
         if not self._fleet.is_large or zones < 2:
             return everybody
         if worker.zone == self._settings.own_zone:
-            return everybody / zones / COLD_OWN
-        return (everybody - everybody / zones) / (1 - COLD_OWN)
+            return everybody / zones / OWN_ZONE_FRACTION
+        return (everybody - everybody / zones) / (1 - OWN_ZONE_FRACTION)
 
     def _has_turn(self, worker: TrackedWorker, work: float, part: float, now: int) -> bool:
-        """Whether it is our turn to send a cold worker one job, where an equal part is less than a job.
+        """Return whether it is our turn to send a worker one request, where an equal part is less than a request.
 
-        Among hundreds of dispatchers no part ever holds a job, and a site that lost a zone stays on
-        the few workers left until the others are warm. They count off by number, worker and time.
+        Among hundreds of dispatchers no part ever holds a request, and a site that lost a zone would stay on
+        the few workers left until the others have warmed up. They count off by number, worker and time.
         """
-        span = max(1, self._settings.rules.overload_for_ns // COLD_PARTS)
-        groups = 1 << max(0, ceil(log2(COLD_PARTS * work / part)))
-        span_number = (now - worker.started_at) // span
-        wait = (self._settings.own_number + worker.slow_start_offset - span_number) % groups
-        begun = worker.started_at + span_number * span
-        if wait == 0 and not (worker.recent and worker.recent[-1][0] >= begun):
+        span_ns = max(1, self._settings.rules.overload_window_ns // SPANS_PER_WINDOW)
+        groups = 1 << max(0, ceil(log2(SPANS_PER_WINDOW * work / part)))
+        span_number = (now - worker.started_at) // span_ns
+        spans_until_turn = (self._settings.own_number + worker.slow_start_offset - span_number) % groups
+        span_begin = worker.started_at + span_number * span_ns
+        has_sent_in_span = bool(worker.recent) and worker.recent[-1][0] >= span_begin
+        if spans_until_turn == 0 and not has_sent_in_span:
             return True
-        worker.rejected_work, worker.capacity_at = work, begun + (wait or groups) * span
+        worker.rejected_work = work
+        worker.capacity_at = span_begin + (spans_until_turn or groups) * span_ns
         return False
 
-    def _room_at(self, worker: TrackedWorker, share: float, now: int) -> int:
-        """When a cold worker may have room: grown to this share, or its oldest job out of the window.
+    def _capacity_at(self, worker: TrackedWorker, share: float, now: int) -> int:
+        """Return when a worker may have capacity: grown to this share, or its oldest request out of the window.
 
-        Among many cold workers, asking each again at every sweep takes more time than there is.
+        Among many workers that warm up, testing each again at every sweep takes more time than there is.
         """
         rules = self._settings.rules
-        grown = (share - rules.cold_from) / (1 - rules.cold_from) if share < 1 else 1.0
+        age = (share - rules.initial_share) / (1 - rules.initial_share) if share < 1 else 1.0
         oldest = worker.recent[0][0] if worker.recent else now
-        return min(worker.started_at + round(rules.warm_within_ns * grown), oldest + rules.overload_for_ns)
+        return min(worker.started_at + round(rules.warm_up_ns * age), oldest + rules.overload_window_ns)
 
     def _comparable_slots(self, worker: TrackedWorker, now: int) -> float:
-        """Return what the middle one of the warm workers of its kind was seen to carry at once, or reported free."""
+        """Return what the median of the warm workers of its kind was seen to bear at once, or reported free."""
         known = self._slots_of_kind.get(worker.kind)
-        if known is None:
-            seen = [
-                each.max_started_load
-                for each in self._workers.values()
-                if each.kind == worker.kind and each.max_started_load and self.share(each, now) >= 1
-            ]
-            least = self._queues.slots_reported(worker.kind, 1.0) if self._fleet.is_large else 1.0
-            known = max(least, sorted(seen)[len(seen) // 2] if seen else 1.0)
-            self._slots_of_kind[worker.kind] = known
-        return known
+        if known is not None:
+            return known
+        seen = sorted(
+            other.max_started_load
+            for other in self._workers.values()
+            if other.kind == worker.kind and other.max_started_load and self.share(other, now) >= 1
+        )
+        least = self._queues.slots_reported(worker.kind, 1.0) if self._fleet.is_large else 1.0
+        slots = max(least, seen[len(seen) // 2] if seen else 1.0)
+        self._slots_of_kind[worker.kind] = slots
+        return slots
--- a/canvasbeam/dispatch/worker_acceptance.py
+++ b/canvasbeam/dispatch/worker_acceptance.py
@@ -36,7 +36,7 @@
         self._slow_start = slow_start
         self._limits = limits
         self._ejection = ejection
-        self._governor = context.governor
+        self._fleet_limits = context.fleet_limits
         self._engines = context.engines
         # A worker that runs one request after the other shows by the next start that it has capacity.
         self._waits_for_starts = context.settings.tells_start and not context.settings.batches
@@ -63,7 +63,7 @@
         """Return whether a worker may be sent this request, where it is available."""
         if not worker.entry.may_run(request.request_class, request.event):
             return False
-        if self._governor is not None and not self._governor.may_send_cold(now, worker.name):
+        if self._fleet_limits is not None and not self._fleet_limits.may_send_while_warming_up(now, worker.name):
             return False
         if self._engines is not None and not self._is_prompt_accepted(self._engines, worker, request, now):
             return False
@@ -78,4 +78,4 @@
         self, engines: EngineModel, worker: TrackedWorker, request: TrackedRequest, now: int
     ) -> bool:
         """Return whether a language model's worker is expected to start this request within its latency target."""
-        return engines.has_room(now, worker.entry, request.event, self._estimates.in_time_until(request) - now)
+        return engines.has_capacity(now, worker.entry, request.event, self._estimates.in_time_until(request) - now)
--- a/canvasbeam/dispatch/worker_choice.py
+++ b/canvasbeam/dispatch/worker_choice.py
@@ -31,13 +31,13 @@
     def __init__(
         self, context: PartContext, *, retries: RetryPolicy, limits: ConcurrencyLimits, round_robin: RoundRobin
     ) -> None:
-        self._max_lead = context.settings.affinity_turns
+        self._max_lead = context.settings.max_round_robin_lead
         self._fleet = context.fleet
         self._estimates = context.estimates
         self._retries = retries
         self._limits = limits
         self._round_robin = round_robin
-        self._engines = context.engines if context.settings.affinity_turns > 0 else None
+        self._engines = context.engines if context.settings.max_round_robin_lead > 0 else None
 
     def choose(self, request: TrackedRequest, current_pass: RoundRobinPass, now: int) -> TrackedWorker | None:
         """Return the worker that the request is to be sent to now; none where it must stay pending."""
--- a/canvasbeam/scheduler/configuration.py
+++ b/canvasbeam/scheduler/configuration.py
@@ -12,8 +12,9 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING, Any
 
+from canvasbeam.dispatch.json_fields import WireError, required, section, whole_number
 from canvasbeam.dispatch.settings import Settings
-from canvasbeam.dispatch.settings_json import WireError, need, read_settings, section, whole
+from canvasbeam.dispatch.settings_json import read_settings
 from canvasbeam.scheduler.limits import Limits
 from canvasbeam.scheduler.target_group import read_address, read_list
 
@@ -66,13 +67,13 @@
     mgmt = environment.get("LB_MGMT") or str(fields.get("mgmt") or "")
     return Configuration(
         name=environment.get("LB_NAME") or str(fields.get("name") or "scheduler"),
-        listen=read_address(environment.get("LB_LISTEN") or str(need(fields, "listen"))),
-        discovery=read_address(environment.get("LB_DISCOVERY") or str(need(fields, "discovery"))),
+        listen=read_address(environment.get("LB_LISTEN") or str(required(fields, "listen"))),
+        discovery=read_address(environment.get("LB_DISCOVERY") or str(required(fields, "discovery"))),
         mgmt=read_address(mgmt) if mgmt else None,
         peers=environment.get("LB_PEERS") or str(fields.get("peers") or ""),
         seed=int(str(fields.get("seed") or "0"), 16),
-        sockets=whole(section(fields, "limits"), "sockets", 1024),
-        memory_mb=whole(section(fields, "limits"), "memory_mb", 192),
+        sockets=whole_number(section(fields, "limits"), "sockets", 1024),
+        memory_mb=whole_number(section(fields, "limits"), "memory_mb", 192),
         known=known,
         options=section(fields, "settings"),
     )
--- a/canvasbeam/scheduler/target_group.py
+++ b/canvasbeam/scheduler/target_group.py
@@ -20,8 +20,8 @@
 import httptools
 
 from canvasbeam.dispatch.events import ListKind, WorkerState
+from canvasbeam.dispatch.json_fields import Fields, WireError, number, required, text, whole_number
 from canvasbeam.dispatch.settings import Discovery
-from canvasbeam.dispatch.settings_json import Fields, WireError, need, number, whole, word
 from canvasbeam.scheduler.core import Core
 from canvasbeam.scheduler.limits import Limits, span_of
 from canvasbeam.scheduler.loop import Deadline, Loop, Stream
@@ -69,15 +69,15 @@
 
 def read_target(fields: Fields, born: timedelta) -> Target:
     """One entry of discovery's list; `born` is the Unix time of the loop's zero."""
-    started = whole(fields, "born_ms", 0)
+    started = whole_number(fields, "born_ms", 0)
     return Target(
-        name=word(fields, "host"),
-        address=read_address(word(fields, "dial")),
-        zone=word(fields, "site"),
+        name=text(fields, "host"),
+        address=read_address(text(fields, "dial")),
+        zone=text(fields, "site"),
         kind=str(fields.get("class") or ""),
-        cell=whole(fields, "block", 0),
+        cell=whole_number(fields, "block", 0),
         # A state not known here is no invitation to send.
-        state=STATES.get(word(fields, "health"), WorkerState.DRAINING),
+        state=STATES.get(text(fields, "health"), WorkerState.DRAINING),
         weight=number(fields, "share", 1.0),
         started=timedelta(milliseconds=started) - born if started > 0 else None,
     )
@@ -85,7 +85,7 @@
 
 def read_list(message: Fields, born: timedelta) -> tuple[bool, list[Target], int]:
     """Whether a list is whole, its targets, and its version."""
-    hosts = need(message, "hosts")
+    hosts = required(message, "hosts")
     if not isinstance(hosts, list) or not all(isinstance(each, dict) for each in hosts):
         raise WireError("discovery: hosts is not a list of objects")
     targets = []
@@ -95,7 +95,7 @@
         except (WireError, ValueError, OverflowError) as error:
             # Guards the list: one target that cannot be read must not hide all others.
             log.warning("discovery names a target that cannot be used: %s", error)
-    return bool(message.get("whole")), targets, whole(message, "seq")
+    return bool(message.get("whole")), targets, whole_number(message, "seq")
 
 
 class TargetGroup:
@@ -123,7 +123,7 @@
         self._asked = timedelta(0)
         self._fails = 0  # calls in a row
         # Who has not asked for the rules' time counts as told; a call that failed leaves four times as long.
-        ask_every = span_of(core.settings.rules.ask_every_ns) or limits.list_spread * 2
+        ask_every = span_of(core.settings.rules.list_interval_ns) or limits.list_spread * 2
         self._spread_most = min(ask_every, limits.list_gap) * 0.9
         self._random = random.Random(whose)
 
--- a/tests/data_plane/test_data_plane_shutdown.py
+++ b/tests/data_plane/test_data_plane_shutdown.py
@@ -128,7 +128,7 @@
     worker = ScriptedWorker("w1", default=script)
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
-        data_plane.shutdown._stream_times.served("stream", 100 * SECOND, work=1000)
+        data_plane.shutdown._stream_times.learn("stream", 100 * SECOND, work=1000)
         data_plane.shutdown._phases.begin(data_plane.shutdown._now_ns())
         client = await data_plane.client()
         assert (await client.request("/stream/x", "id-1", "", "X-Tokens: 10,200")).status == 503
--- a/tests/data_plane/test_later_sentences.py
+++ b/tests/data_plane/test_later_sentences.py
@@ -515,7 +515,7 @@
         await turn.end_stream()
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
-        data_plane.shutdown._stream_times.served("stream", 3 * SECOND)
+        data_plane.shutdown._stream_times.learn("stream", 3 * SECOND)
         data_plane.shutdown._phases.begin(data_plane.router.now_ns() - round(after_s * SECOND))
         answer = await (await data_plane.client()).request("/stream/x")
         assert answer.status == status
--- a/tests/data_plane/test_placement_notices.py
+++ b/tests/data_plane/test_placement_notices.py
@@ -140,11 +140,11 @@
     ):
         assert decode_notice(encode_notice(notice)) == notice
     transport, expectations = notices()
-    assert expectations.has_room(time.monotonic_ns(), HERE, job(), SECOND)
+    assert expectations.has_capacity(time.monotonic_ns(), HERE, job(), SECOND)
     transport.callbacks[Channel.PLACEMENT](
         SENDER, encode_notice(PlacementNotice("w1", PromptEstimate(0, 0), is_unresponsive=True))
     )
-    assert not expectations.has_room(time.monotonic_ns(), HERE, job(), SECOND)
+    assert not expectations.has_capacity(time.monotonic_ns(), HERE, job(), SECOND)
 
 
 def test_silence_is_told_to_the_region() -> None:
--- a/tests/dispatch/test_cold_fleet.py
+++ b/tests/dispatch/test_cold_fleet.py
@@ -52,8 +52,10 @@
         self.slots = draw.choice([1, 2, 4, 8])
         self.work = draw.choice([100, 200, 400, 1200]) * MS
         self.rules = Rules(
-            cold_from=draw.uniform(0.2, 0.5), warm_within_ns=round(draw.uniform(4, 9) * SECOND),
-            tip_multiple=draw.choice([1.5, 2.0, 3.0, 4.0]), overload_for_ns=draw.choice([500, 1000, 2000, 3000]) * MS,
+            initial_share=draw.uniform(0.2, 0.5), warm_up_ns=round(draw.uniform(4, 9) * SECOND),
+            overload_multiple=draw.choice([1.5, 2.0, 3.0, 4.0]),
+            overload_window_ns=draw.choice([500, 1000, 2000, 3000])
+            * MS,
         )  # fmt: skip
         self.classes = (
             RequestClass("look", latency_target_ns=self.work, deadline_ns=6 * SECOND, stretch=2.0, late_value=0.5),
@@ -94,17 +96,17 @@
     def allowed(self, began: int, now: int) -> float:
         """N: what the settings allow in the window that ends now."""
         rules = self.rules
-        share = min(1.0, rules.cold_from + (1 - rules.cold_from) * (now - began) / rules.warm_within_ns)
-        return rules.tip_multiple * share * self.slots * rules.overload_for_ns / self.work
+        share = min(1.0, rules.initial_share + (1 - rules.initial_share) * (now - began) / rules.warm_up_ns)
+        return rules.overload_multiple * share * self.slots * rules.overload_window_ns / self.work
 
     def count_send(self, name: str, now: int) -> None:
         began = self.cold.get(name)
-        if began is None or now - began >= self.rules.warm_within_ns:
+        if began is None or now - began >= self.rules.warm_up_ns:
             return
         self.kept += 1
         sends = self.sends.setdefault(name, deque())
         sends.append(now)
-        while sends[0] <= now - self.rules.overload_for_ns:
+        while sends[0] <= now - self.rules.overload_window_ns:
             sends.popleft()
         allowed = self.allowed(began, now)
         self.worst = max(self.worst, len(sends) / (allowed + 2 * sqrt(allowed) + 2))
--- a/tests/dispatch/test_crowd.py
+++ b/tests/dispatch/test_crowd.py
@@ -184,7 +184,7 @@
 def test_a_cold_worker_gets_most_of_what_it_can_bear_from_its_own_zone_and_never_more_than_that(asking: str) -> None:
     """Of equal parts a zone that came back whole used a quarter, and sent its jobs away while it was cold."""
     zones = ("here", "there", "yonder", "beyond")
-    rules = Rules(cold_from=0.3, warm_within_ns=8 * SECOND, tip_multiple=3.0, overload_for_ns=3 * SECOND)
+    rules = Rules(initial_share=0.3, warm_up_ns=8 * SECOND, overload_multiple=3.0, overload_window_ns=3 * SECOND)
     cold = entry("cold", "here", weight=4.0, started_ns=START)
     sent = 0
     for number in range(40 if asking == "everybody" else 10):
--- a/tests/dispatch/test_drawn_deployments.py
+++ b/tests/dispatch/test_drawn_deployments.py
@@ -98,9 +98,9 @@
             idle_connection_ns=draw(st.sampled_from([0, 10 * SECOND])),
         ),
         rules=Rules(
-            answer_slack_ns=26 * MS, drain_grace_ns=400 * MS, cold_from=draw(st.sampled_from([0.2, 0.5])),
-            warm_within_ns=draw(st.sampled_from([0, 4, 9])) * SECOND, tip_multiple=3.0,
-            overload_for_ns=draw(st.sampled_from([1, 3])) * SECOND,
+            answer_slack_ns=26 * MS, drain_grace_ns=400 * MS, initial_share=draw(st.sampled_from([0.2, 0.5])),
+            warm_up_ns=draw(st.sampled_from([0, 4, 9])) * SECOND, overload_multiple=3.0,
+            overload_window_ns=draw(st.sampled_from([1, 3])) * SECOND,
         ),
     )  # fmt: skip
     homes = [(zone, kind) for zone in zones for kind in kinds or ("",)]
--- a/tests/dispatch/test_fleet_limits.py
+++ b/tests/dispatch/test_fleet_limits.py
@@ -79,8 +79,8 @@
         while change_times and change_times[0] <= now:
             change_times.pop()
             chance.choice(schedulers).members(now, members(len(schedulers)))
-        if now >= cold_at and schedulers[number].may_send_cold(now, "w"):
-            schedulers[number].sent(now, KIND, "w", repeat=False)
+        if now >= cold_at and schedulers[number].may_send_while_warming_up(now, "w"):
+            schedulers[number].sent(now, KIND, "w", is_retry=False)
             sent.append(now)
     return [each for each in sent if each < until]
 
@@ -127,8 +127,8 @@
     alone = FleetLimits("edge-0", RETRY, COLD)
     alone.services(START, {KIND: WarmUpRate(RATE)})
     alone.listed(START, entry(cold_until=START + SECOND))
-    assert not alone.may_send_cold(START, "w")
-    assert alone.may_send_cold(START + 3 * SECOND, "w")
+    assert not alone.may_send_while_warming_up(START, "w")
+    assert alone.may_send_while_warming_up(START + 3 * SECOND, "w")
 
 
 def test_who_has_just_started_sends_nothing_to_a_cold_worker_yet() -> None:
@@ -136,8 +136,8 @@
     fresh.services(START, {KIND: WarmUpRate(RATE)})
     fresh.members(START, members(1))
     fresh.listed(START, entry(cold_until=START + 60 * SECOND))
-    assert not fresh.may_send_cold(START + SECOND, "w")
-    assert fresh.may_send_cold(START + 8 * SECOND, "w")
+    assert not fresh.may_send_while_warming_up(START + SECOND, "w")
+    assert fresh.may_send_while_warming_up(START + 8 * SECOND, "w")
 
 
 def test_a_worker_that_can_be_used_again_is_taken_for_cold() -> None:
@@ -153,23 +153,23 @@
 def test_what_was_sent_before_the_worker_turned_cold_counts() -> None:
     only = fleet(1)[0]
     for number in range(4):
-        only.sent(START + SECOND + number, KIND, "w", repeat=False)
+        only.sent(START + SECOND + number, KIND, "w", is_retry=False)
     only.listed(START + SECOND + 10, entry(cold_until=START + 4 * SECOND))
-    assert not only.may_send_cold(START + SECOND + 20, "w")
+    assert not only.may_send_while_warming_up(START + SECOND + 20, "w")
 
 
 def test_a_service_without_a_rate_has_no_cold_workers() -> None:
     only = fleet(1)[0]
     only.services(START, {KIND: WarmUpRate(0.0)})
     only.listed(START, entry(cold_until=START + SECOND))
-    assert only.may_send_cold(START, "w")
+    assert only.may_send_while_warming_up(START, "w")
 
 
 def test_a_worker_that_is_gone_is_forgotten() -> None:
     only = fleet(1)[0]
     only.listed(START, entry(cold_until=START + SECOND))
     only.listed(START, entry(state=WorkerState.GONE))
-    assert only.may_send_cold(START, "w")
+    assert only.may_send_while_warming_up(START, "w")
 
 
 # --- repeats ----------------------------------------------------------------------------------
@@ -189,8 +189,8 @@
             scheduler.arrived(now, KIND)
             requests.append(now)
         for scheduler in schedulers:
-            while scheduler.may_repeat(now, KIND):
-                scheduler.sent(now, KIND, "w", repeat=True)
+            while scheduler.may_retry(now, KIND):
+                scheduler.sent(now, KIND, "w", is_retry=True)
                 repeats.append(now)
     return requests, repeats
 
@@ -218,20 +218,20 @@
 
 def test_who_hears_nothing_repeats_only_what_its_own_requests_earn() -> None:
     alone = FleetLimits("edge-0", RETRY, COLD)
-    assert not alone.may_repeat(START, KIND)
+    assert not alone.may_retry(START, KIND)
     for _ in range(10):
         alone.arrived(START, KIND)
-    assert alone.may_repeat(START + SECOND, KIND)
-    alone.sent(START + SECOND, KIND, "w", repeat=True)
-    assert not alone.may_repeat(START + SECOND, KIND)
+    assert alone.may_retry(START + SECOND, KIND)
+    alone.sent(START + SECOND, KIND, "w", is_retry=True)
+    assert not alone.may_retry(START + SECOND, KIND)
 
 
 def test_a_first_send_is_no_repeat() -> None:
     only = fleet(1)[0]
-    before = only.may_repeat(START, KIND)
+    before = only.may_retry(START, KIND)
     for _ in range(500):
-        only.sent(START, KIND, "w", repeat=False)
-    assert only.may_repeat(START, KIND) is before is True
+        only.sent(START, KIND, "w", is_retry=False)
+    assert only.may_retry(START, KIND) is before is True
 
 
 def test_the_window_slides() -> None:
--- a/tests/dispatch/test_language_model_expectations.py
+++ b/tests/dispatch/test_language_model_expectations.py
@@ -53,7 +53,7 @@
 def room_behind(expectations: EngineExpectations, entry: WorkerEntry, now: int, tokens: int, aim: int) -> bool:
     """Whether there is room for half of these tokens behind a prompt with the other half."""
     expectations.sent(now, entry, job("before", tokens // 2))
-    return expectations.has_room(now, entry, job("j", tokens - tokens // 2), aim)
+    return expectations.has_capacity(now, entry, job("j", tokens - tokens // 2), aim)
 
 
 def test_a_worker_has_room_for_what_it_reads_within_the_aim() -> None:
@@ -71,9 +71,9 @@
 def test_a_prompt_too_large_for_its_aim_goes_only_where_little_waits() -> None:
     expectations = model()
     large = job("large", tokens_read_in(2 * AIM))
-    assert expectations.has_room(NOW, NEAR, large, AIM)
+    assert expectations.has_capacity(NOW, NEAR, large, AIM)
     expectations.sent(NOW, NEAR, job("first", 9000))
-    assert not expectations.has_room(NOW, NEAR, large, AIM)
+    assert not expectations.has_capacity(NOW, NEAR, large, AIM)
 
 
 def test_prompts_that_others_tell_of_count_until_a_later_one_is_read() -> None:
@@ -83,11 +83,11 @@
     prompt = job("other", half, ("a", half)).prompt
     assert prompt is not None
     expectations.note_remote_attempt(NOW, "near", prompt)
-    assert not expectations.has_room(NOW, NEAR, job("j", half, ("b", half)), AIM)
+    assert not expectations.has_capacity(NOW, NEAR, job("j", half, ("b", half)), AIM)
     assert cached_tokens(expectations, NEAR, job("j", half, ("a", half))) == half
     expectations.sent(NOW, NEAR, job("own", 10))
     expectations.started(NOW + 10 * MS, "near", "own")
-    assert expectations.has_room(NOW + 10 * MS, NEAR, job("j", half, ("b", half)), AIM)
+    assert expectations.has_capacity(NOW + 10 * MS, NEAR, job("j", half, ("b", half)), AIM)
 
 
 def test_what_others_tell_of_unknown_workers_is_passed_over() -> None:
@@ -107,8 +107,8 @@
     expectations = model()
     half = tokens_read_in(AIM / 2)
     expectations.sent(NOW, NEAR, job("first", half))
-    assert not expectations.has_room(NOW, NEAR, job("j", half), AIM)
-    assert expectations.has_room(NOW + AIM // 2, NEAR, job("j", half), AIM)
+    assert not expectations.has_capacity(NOW, NEAR, job("j", half), AIM)
+    assert expectations.has_capacity(NOW + AIM // 2, NEAR, job("j", half), AIM)
 
 
 def test_a_first_token_shows_that_the_prompt_is_read() -> None:
@@ -116,7 +116,7 @@
     half = tokens_read_in(AIM / 2)
     expectations.sent(NOW, NEAR, job("first", half))
     expectations.started(NOW + 20 * MS, "near", "first")
-    assert expectations.has_room(NOW + 20 * MS, NEAR, job("j", half), AIM)
+    assert expectations.has_capacity(NOW + 20 * MS, NEAR, job("j", half), AIM)
 
 
 def test_a_job_that_ended_unread_no_longer_counts() -> None:
@@ -124,22 +124,22 @@
     half = tokens_read_in(AIM / 2)
     expectations.sent(NOW, NEAR, job("first", half))
     expectations.ended(NOW, "near", "first")
-    assert expectations.has_room(NOW, NEAR, job("j", half), AIM)
+    assert expectations.has_capacity(NOW, NEAR, job("j", half), AIM)
 
 
 def test_a_late_first_token_tells_of_other_schedulers_prompts_and_fades() -> None:
     expectations = model()
     expectations.sent(NOW, NEAR, job("first", 100))
     expectations.started(NOW + 600 * MS, "near", "first")
-    assert not expectations.has_room(NOW + 600 * MS, NEAR, job("j", 100), AIM)
-    assert expectations.has_room(NOW + 1200 * MS, NEAR, job("j", 100), AIM)
+    assert not expectations.has_capacity(NOW + 600 * MS, NEAR, job("j", 100), AIM)
+    assert expectations.has_capacity(NOW + 1200 * MS, NEAR, job("j", 100), AIM)
 
 
 def test_a_job_past_its_aim_goes_only_where_little_waits() -> None:
     expectations = model()
-    assert expectations.has_room(NOW, NEAR, job("late", 9000), -1)
+    assert expectations.has_capacity(NOW, NEAR, job("late", 9000), -1)
     expectations.sent(NOW, NEAR, job("first", 9000))
-    assert not expectations.has_room(NOW, NEAR, job("late", 100), -1)
+    assert not expectations.has_capacity(NOW, NEAR, job("late", 100), -1)
 
 
 def test_kept_parts_are_not_read_again() -> None:
@@ -165,12 +165,12 @@
 def test_a_worker_without_memory_has_no_room_unless_nothing_runs_there() -> None:
     expectations = model()
     large = job("large", 100, out=CAPACITY)
-    assert expectations.has_room(NOW, NEAR, large, AIM)
+    assert expectations.has_capacity(NOW, NEAR, large, AIM)
     expectations.sent(NOW, NEAR, large)
     expectations.started(NOW, "near", "large")
-    assert not expectations.has_room(NOW, NEAR, job("j", 100), AIM)
+    assert not expectations.has_capacity(NOW, NEAR, job("j", 100), AIM)
     expectations.ended(NOW, "near", "large")
-    assert expectations.has_room(NOW, NEAR, job("j", 100), AIM)
+    assert expectations.has_capacity(NOW, NEAR, job("j", 100), AIM)
 
 
 def test_a_worker_that_is_gone_is_forgotten() -> None:
@@ -185,7 +185,7 @@
     expectations = model()
     plain = WorkerEntry("plain", "here", "lookup")
     for number in range(100):
-        assert expectations.has_room(NOW, plain, job("j", 10_000), AIM)
+        assert expectations.has_capacity(NOW, plain, job("j", 10_000), AIM)
         expectations.sent(NOW, plain, job(f"j{number}", 10_000))
 
 
@@ -210,10 +210,10 @@
     expectations = model()
     expectations.sent(NOW, NEAR, job("dark", 100))
     later = NOW + SECOND
-    assert expectations.has_room(NOW + 100 * MS, NEAR, job("j", 100), AIM)
-    assert not expectations.has_room(later, NEAR, job("j", 100), AIM)
+    assert expectations.has_capacity(NOW + 100 * MS, NEAR, job("j", 100), AIM)
+    assert not expectations.has_capacity(later, NEAR, job("j", 100), AIM)
     expectations.started(later, "near", "dark")
-    assert expectations.has_room(later + SECOND, NEAR, job("j", 100), AIM)
+    assert expectations.has_capacity(later + SECOND, NEAR, job("j", 100), AIM)
 
 
 def test_a_worker_that_began_a_later_job_is_not_dark() -> None:
@@ -221,7 +221,7 @@
     expectations.sent(NOW, NEAR, job("first", 100))
     expectations.sent(NOW + MS, NEAR, job("second", 100))
     expectations.started(NOW + 30 * MS, "near", "second")
-    assert expectations.has_room(NOW + SECOND, NEAR, job("j", 100), AIM)
+    assert expectations.has_capacity(NOW + SECOND, NEAR, job("j", 100), AIM)
 
 
 def test_a_silent_worker_shows_its_zone_cut_off_but_not_the_own_one() -> None:
@@ -230,10 +230,10 @@
     expectations.sent(NOW, AWAY, job("cut", 100))
     expectations.sent(NOW, NEAR, job("dark", 100))
     later = NOW + SECOND
-    assert not expectations.has_room(later, other_away, job("j", 100), AIM)
-    assert expectations.has_room(later, other_near, job("j", 100), AIM)
+    assert not expectations.has_capacity(later, other_away, job("j", 100), AIM)
+    assert expectations.has_capacity(later, other_near, job("j", 100), AIM)
     expectations.ended(later, "away", "cut")
-    assert expectations.has_room(later + 1, other_away, job("j", 100), AIM)
+    assert expectations.has_capacity(later + 1, other_away, job("j", 100), AIM)
 
 
 def test_a_zone_that_is_heard_of_is_not_cut_off() -> None:
@@ -242,8 +242,8 @@
     expectations.sent(NOW, AWAY, job("slow", 100))
     expectations.sent(NOW + MS, other, job("quick", 100))
     expectations.started(NOW + 130 * MS, "away-2", "quick")
-    assert expectations.has_room(NOW + SECOND, other, job("j", 100), AIM)
-    assert not expectations.has_room(NOW + SECOND, AWAY, job("j", 100), AIM)
+    assert expectations.has_capacity(NOW + SECOND, other, job("j", 100), AIM)
+    assert not expectations.has_capacity(NOW + SECOND, AWAY, job("j", 100), AIM)
 
 
 # --- pauses and silence, seen here and told of by others ---------------------------------------------------------
@@ -291,7 +291,7 @@
     expectations = model()
     now, told = silent_worker(expectations)
     for passed in (0, TIMEOUT_REPORT_INTERVAL_NS // 2, TIMEOUT_REPORT_INTERVAL_NS):
-        assert not expectations.has_room(now + passed, NEAR, job("j", 100), AIM)
+        assert not expectations.has_capacity(now + passed, NEAR, job("j", 100), AIM)
     assert told == ["near", "near"]
 
 
@@ -299,7 +299,7 @@
     expectations = model()
     now, told = silent_worker(expectations)
     expectations.note_event_gap(now - MS, "near", 50.0 * MS)
-    assert not expectations.has_room(now, NEAR, job("j", 100), AIM)
+    assert not expectations.has_capacity(now, NEAR, job("j", 100), AIM)
     assert told == []
 
 
@@ -307,12 +307,12 @@
     expectations = model()
     expectations.listed(NOW, NEAR)
     expectations.note_remote_timeout(NOW, "near")
-    assert not expectations.has_room(NOW, NEAR, job("j", 100), AIM)
-    assert expectations.has_room(NOW + TIMEOUT_VALID_NS, NEAR, job("j", 100), AIM)
+    assert not expectations.has_capacity(NOW, NEAR, job("j", 100), AIM)
+    assert expectations.has_capacity(NOW + TIMEOUT_VALID_NS, NEAR, job("j", 100), AIM)
     expectations.sent(NOW, NEAR, job("mine", 100))
     expectations.note_remote_timeout(NOW, "near")
     expectations.started(NOW + MS, "near", "mine")
-    assert expectations.has_room(NOW + MS, NEAR, job("j", 100), AIM)
+    assert expectations.has_capacity(NOW + MS, NEAR, job("j", 100), AIM)
 
 
 def test_who_has_just_heard_of_a_worker_does_not_believe_that_it_is_silent() -> None:
@@ -320,4 +320,4 @@
     expectations.listed(NOW, NEAR)
     expectations.note_event_gap(NOW, "near", 50.0 * MS)
     expectations.note_remote_timeout(NOW + RECENT_OUTPUT_NS, "near")
-    assert expectations.has_room(NOW + RECENT_OUTPUT_NS, NEAR, job("j", 100), AIM)
+    assert expectations.has_capacity(NOW + RECENT_OUTPUT_NS, NEAR, job("j", 100), AIM)
--- a/tests/dispatch/test_order_of_classes.py
+++ b/tests/dispatch/test_order_of_classes.py
@@ -44,11 +44,11 @@
 CHATTING = job_class("chatting", 2, 600, 15_000)
 
 
-def served_shares(kinds: list[Kind], load: float, seed: int, urgent_first: bool = True) -> dict[str, float]:
+def served_shares(kinds: list[Kind], load: float, seed: int, priority_first: bool = True) -> dict[str, float]:
     """The share of each class's requests that are served at this multiple of what the workers can do."""
     system = System(
         worker("a", slots=SLOTS), worker("b", slots=SLOTS), classes=tuple(each.job_class for each in kinds),
-        hold_share=HOLD_SHARE, urgent_first=urgent_first,
+        early_rejection_share=HOLD_SHARE, priority_first=priority_first,
     )  # fmt: skip
     chance = random.Random(seed)
     asked: Counter[str] = Counter()
@@ -104,7 +104,7 @@
 def test_without_its_order_a_class_with_a_shorter_aim_is_served_more_often() -> None:
     """The planted fault: priorities are not looked at."""
     kinds = [Kind(job_class("urgent", 0, 4000, 5000), 1), Kind(job_class("other", 2, 400, 5000), 1)]
-    shares = served_shares(kinds, 3.0, seed=1, urgent_first=False)
+    shares = served_shares(kinds, 3.0, seed=1, priority_first=False)
     assert shares["urgent"] < shares["other"] - TOLERATED
     shares = served_shares(kinds, 3.0, seed=1)
     assert shares["urgent"] >= shares["other"] - TOLERATED
--- a/tests/dispatch/test_rules_property.py
+++ b/tests/dispatch/test_rules_property.py
@@ -41,7 +41,7 @@
     WorkerState,
 )
 from canvasbeam.dispatch.settings import DispatchLimits, Effect, RequestClass, Rules, Scope, Settings
-from canvasbeam.dispatch.slow_start import COLD_OWN
+from canvasbeam.dispatch.slow_start import OWN_ZONE_FRACTION
 from tests.support.helpers import MS, SECOND, START, settings
 from tests.support.planted_faults import (
     AnswersTwice,
@@ -178,14 +178,14 @@
         rules = self.settings.rules
         age = self.now - worker.started_ns
         at_worker = [each for job in self.jobs.values() for each in job.sent if each.worker.worker == worker.worker]
-        if worker.started_ns == 0 or age >= rules.warm_within_ns:
+        if worker.started_ns == 0 or age >= rules.warm_up_ns:
             there = sum(each.outcome is None for each in at_worker)
             self.most_at_once = max(self.most_at_once, there)
             return
-        begin = max(worker.started_ns, self.now - rules.overload_for_ns + 1)
+        begin = max(worker.started_ns, self.now - rules.overload_window_ns + 1)
         work = WORK * sum(each.at >= begin for each in at_worker)
-        share = rules.cold_from + (1 - rules.cold_from) * age / rules.warm_within_ns
-        whole = rules.tip_multiple * share * self.most_at_once * rules.overload_for_ns
+        share = rules.initial_share + (1 - rules.initial_share) * age / rules.warm_up_ns
+        whole = rules.overload_multiple * share * self.most_at_once * rules.overload_window_ns
         # Where a share is less than one job, schedulers take turns with one: never two in a window.
         rule(work <= max(whole * self.part_of(worker), WORK), "4: more than its share of a cold worker")
 
@@ -195,8 +195,8 @@
         if zones < 2 or not is_crowd(told, self.fleet.values()):
             return 1 / told.dispatchers
         if worker.zone == told.own_zone:
-            return COLD_OWN * zones / told.dispatchers
-        return (1 - COLD_OWN) / (told.dispatchers - told.dispatchers / zones)
+            return OWN_ZONE_FRACTION * zones / told.dispatchers
+        return (1 - OWN_ZONE_FRACTION) / (told.dispatchers - told.dispatchers / zones)
 
     def step(self) -> None:
         """One random legal event."""
@@ -286,8 +286,8 @@
     )
     told = settings(
         classes=CLASSES, limits=limits, dispatchers=2, progress_ns=300 * MS,
-        rules=Rules(answer_slack_ns=16 * MS, cold_from=0.2, warm_within_ns=4 * SECOND,
-                       tip_multiple=3.0, overload_for_ns=SECOND),
+        rules=Rules(answer_slack_ns=16 * MS, initial_share=0.2, warm_up_ns=4 * SECOND,
+                       overload_multiple=3.0, overload_window_ns=SECOND),
     )  # fmt: skip
     fleet = tuple(WorkerEntry(f"w{place}", "here" if place % 2 else "there", "k", place // 2) for place in range(6))
     watch(Referee(kind, random.Random(seed), told, fleet, rush=seed % 3 == 0), steps)
--- a/tests/dispatch/test_service_times.py
+++ b/tests/dispatch/test_service_times.py
@@ -14,14 +14,14 @@
 def test_most_of_what_was_served_took_no_longer_than_expected() -> None:
     times = ServiceTimes(usual_ns=10)
     for span in range(1, 101):
-        times.served("a", span * 20, work=2)
+        times.learn("a", span * 20, work=2)
     assert times.expected_ns("a") == (36 + 64 * 0.9 // 1 + 1) * 10
     assert times.expected_ns("a", 3) == times.expected_ns("a") * 3
     assert times.expected_ns("b") == 10
 
 
 def test_what_was_long_ago_is_forgotten() -> None:
-    times = ServiceTimes(usual_ns=10, kept=4)
+    times = ServiceTimes(usual_ns=10, samples=4)
     for span in (1000, 1000, 1000, 1000, 5, 5, 5, 5):
-        times.served("a", span)
+        times.learn("a", span)
     assert times.expected_ns("a") == 5
--- a/tests/dispatch/test_system_placement.py
+++ b/tests/dispatch/test_system_placement.py
@@ -40,7 +40,7 @@
 
 
 class Limits:
-    """A governor that says what it is told to and notes what it hears."""
+    """A fleet_limits that says what it is told to and notes what it hears."""
 
     def __init__(self) -> None:
         self.repeats_permitted = True
@@ -50,10 +50,10 @@
     def arrived(self, now: int, kind: str) -> None:
         pass
 
-    def may_repeat(self, now: int, kind: str) -> bool:
+    def may_retry(self, now: int, kind: str) -> bool:
         return self.repeats_permitted
 
-    def may_send_cold(self, now: int, worker: str) -> bool:
+    def may_send_while_warming_up(self, now: int, worker: str) -> bool:
         return worker not in self.cold
 
     def sent(self, now: int, kind: str, worker: str, repeat: bool) -> None:
@@ -80,7 +80,7 @@
         )
         settings: dict[str, Any] = {
             "classes": (), "classes_later": True, "zones": ("here", "there"), "own_zone": "here", "batches": True,
-            "urgent_first": True, "hold_share": 0.2, "limits": limits, "quantum_ns": 2 * MS,
+            "priority_first": True, "early_rejection_share": 0.2, "limits": limits, "quantum_ns": 2 * MS,
         }  # fmt: skip
         self.limits = Limits()
         self.engines = EngineExpectations("here")
@@ -313,7 +313,7 @@
 
 
 def test_the_worker_that_keeps_a_part_is_taken_within_the_bound() -> None:
-    system = System(worker("a"), worker("b"), affinity_turns=2.0)
+    system = System(worker("a"), worker("b"), max_round_robin_lead=2.0)
     names = []
     for number in range(20):
         names += sent_to(system.job(prompt=SHARED))
@@ -324,14 +324,14 @@
 
 
 def test_prompts_without_shared_parts_take_even_turns_with_affinity() -> None:
-    system = System(worker("a"), worker("b"), affinity_turns=2.0)
+    system = System(worker("a"), worker("b"), max_round_robin_lead=2.0)
     names = [sent_to(system.job(prompt=prompt(100, (f"p{number}", 100))))[0] for number in range(6)]
     assert sorted(names) == ["a", "a", "a", "b", "b", "b"]
 
 
 def test_a_known_queue_weighs_against_a_part_that_is_kept() -> None:
     """By kept parts alone all nodes send what shares a part to one worker: the herd of a cold start."""
-    system = System(worker("a"), worker("b"), affinity_turns=4.0)
+    system = System(worker("a"), worker("b"), max_round_robin_lead=4.0)
     first = sent_to(system.job(prompt=prompt(9000, ("common", 2500), ("own-1", 6500))))[0]
     system.opened("j0", first)
     for _ in range(3):
--- a/tests/dispatch/test_system_placement_property.py
+++ b/tests/dispatch/test_system_placement_property.py
@@ -68,7 +68,7 @@
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
-        self.system = System(classes=CLASSES, affinity_turns=self.chance.choice((0.0, 4.0)))
+        self.system = System(classes=CLASSES, max_round_robin_lead=self.chance.choice((0.0, 4.0)))
         self.entries: dict[str, WorkerEntry] = {}
         self.requests: dict[str, Request] = {}
 
@@ -226,12 +226,12 @@
 
 
 def test_planted_fault_of_too_many_attempts_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(RetryPolicy, "_most_attempts", lambda self, request: 5)
+    monkeypatch.setattr(RetryPolicy, "_max_attempts", lambda self, request: 5)
     assert finds_fault()
 
 
 def test_planted_fault_of_a_repeat_without_budget_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(RetryPolicy, "_repeat_permitted", lambda self, request, now: True)
+    monkeypatch.setattr(RetryPolicy, "_is_within_fleet_limits", lambda self, request, now: True)
     assert finds_fault()
 
 
--- a/tests/golden/dispatcher_day.py
+++ b/tests/golden/dispatcher_day.py
@@ -116,10 +116,10 @@
 def draw_rules(chance: random.Random) -> Rules:
     """The figures behind the rules."""
     return Rules(
-        answer_slack_ns=26 * MS, drain_grace_ns=400 * MS, cold_from=chance.choice((0.2, 0.5)),
-        warm_within_ns=chance.choice((0, 4, 9)) * SECOND, tip_multiple=3.0,
-        overload_for_ns=chance.choice((1, 3)) * SECOND,
-        ask_every_ns=chance.choice((0, SECOND)),
+        answer_slack_ns=26 * MS, drain_grace_ns=400 * MS, initial_share=chance.choice((0.2, 0.5)),
+        warm_up_ns=chance.choice((0, 4, 9)) * SECOND, overload_multiple=3.0,
+        overload_window_ns=chance.choice((1, 3)) * SECOND,
+        list_interval_ns=chance.choice((0, SECOND)),
     )  # fmt: skip
 
 
@@ -145,8 +145,8 @@
         progress_ns=chance.choice((0, 300 * MS, SECOND)), queue_order=chance.choice(ORDERS),
         value_by_work=chance.random() < 0.5, over_quota_value=chance.choice((0.05, 1.0)),
         marks_repeats=chance.random() < 0.5, limits=draw_limits(chance), rules=draw_rules(chance),
-        urgent_first=chance.random() < 0.4, batches=is_of_models or chance.random() < 0.2,
-        hold_share=chance.choice((0.0, 0.0, 0.5)), affinity_turns=chance.choice((0.0, 2.0)),
+        priority_first=chance.random() < 0.4, batches=is_of_models or chance.random() < 0.2,
+        early_rejection_share=chance.choice((0.0, 0.0, 0.5)), max_round_robin_lead=chance.choice((0.0, 2.0)),
     )  # fmt: skip
     homes = [(zone, kind) for zone in zones for kind in kinds or ("",)]
     least = 1 if dispatchers <= 8 else 3
@@ -189,7 +189,7 @@
     fleet: dict[str, WorkerEntry] = field(default_factory=dict)
     failing: set[str] = field(default_factory=set)  # the workers that fail most jobs in this spell
     engines: EngineExpectations | None = None
-    governor: FleetLimits | None = None
+    fleet_limits: FleetLimits | None = None
     dispatcher: Dispatcher = field(init=False)
 
     def __post_init__(self) -> None:
@@ -199,14 +199,14 @@
             self.engines = EngineExpectations(settings.own_zone)
             self.engines.set_engines({kind: EngineCapacity(kv_cache_tokens=20_000) for kind in KINDS})
         if self.deployment.is_governed:
-            self.governor = FleetLimits("d0", RetryLimit(0.2, 20.0), WarmUpLimit(1.5, 8.0), START - 10 * SECOND)
+            self.fleet_limits = FleetLimits("d0", RetryLimit(0.2, 20.0), WarmUpLimit(1.5, 8.0), START - 10 * SECOND)
             names = [f"d{number}" for number in range(settings.dispatchers)]
             zones = settings.zones
             regions = {name: zones[place % len(zones)] for place, name in enumerate(names)}
-            self.governor.members(self.now - SECOND, {**regions, "d0": settings.own_zone})
-            self.governor.services(self.now, {kind: WarmUpRate(20.0) for kind in settings.kinds or ("",)})
+            self.fleet_limits.members(self.now - SECOND, {**regions, "d0": settings.own_zone})
+            self.fleet_limits.services(self.now, {kind: WarmUpRate(20.0) for kind in settings.kinds or ("",)})
         seed = self.chance.randrange(1 << 30)
-        self.dispatcher = Dispatcher(settings, seed, governor=self.governor, engines=self.engines)
+        self.dispatcher = Dispatcher(settings, seed, fleet_limits=self.fleet_limits, engines=self.engines)
         self.give(WorkersListed(ListKind.WARM_COPY, tuple(self.fleet.values()), 1))
 
     # --- events and actions -----------------------------------------------------------------------
--- a/tests/golden/test_golden_settings.py
+++ b/tests/golden/test_golden_settings.py
@@ -81,9 +81,9 @@
     "policyLimits.connIdleNs": "limits.idle_connection_ns",
     "policyLimits.streamsPerConn": "limits.attempts_per_connection", "policyLimits.cpuUsPerS": "limits.cpu_us_per_s",
     "policyLimits.cpuUsPerRequest": "limits.cpu_us_per_request", "rules.answerSlackNs": "rules.answer_slack_ns",
-    "rules.stopSendingWithinNs": "rules.drain_grace_ns", "rules.coldFrom": "rules.cold_from",
-    "rules.warmWithinNs": "rules.warm_within_ns", "rules.tipMultiple": "rules.tip_multiple",
-    "rules.overloadForNs": "rules.overload_for_ns", "rules.askEveryNs": "rules.ask_every_ns",
+    "rules.stopSendingWithinNs": "rules.drain_grace_ns", "rules.coldFrom": "rules.initial_share",
+    "rules.warmWithinNs": "rules.warm_up_ns", "rules.tipMultiple": "rules.overload_multiple",
+    "rules.overloadForNs": "rules.overload_window_ns", "rules.askEveryNs": "rules.list_interval_ns",
 }  # fmt: skip
 
 CLASS_KEYS = {
--- a/tests/scheduler/test_list_told.py
+++ b/tests/scheduler/test_list_told.py
@@ -52,7 +52,7 @@
     """From the start of one call to the start of the next; whatever came after the first is told by the next."""
     drawn = settings(
         dispatchers=dispatchers, discovery=discovery, limits=DispatchLimits(),
-        rules=Rules(ask_every_ns=ask_every * SECOND),
+        rules=Rules(list_interval_ns=ask_every * SECOND),
     )  # fmt: skip
     limits = Limits.of(drawn, 1024, 192)
     loop, server = Virtual(limits.slow_pass), Server()
--- a/tests/scheduler/test_net_loop.py
+++ b/tests/scheduler/test_net_loop.py
@@ -162,7 +162,7 @@
     """Guards discovery and each call to it: of forty that started together sixteen ever got a list."""
     discovery, asked = Server(), Discovery.ASKED
     limits = Limits.of(settings(limits=DispatchLimits(), dispatchers=40), 1024, 192)
-    rules = Rules(ask_every_ns=5_000_000_000)
+    rules = Rules(list_interval_ns=5_000_000_000)
     firsts = []
     for number in range(40):
         world = World(limits=limits, discovery=asked, dispatchers=40, rules=rules)
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -32,8 +32,8 @@
 LIMITS = DispatchLimits(max_attempts=4, probes=True, cancel=True, second_copies=True, retry_advice=True,
                    max_retry_advice_ns=2 * SECOND, connect_timeout_ns=100 * MS)  # fmt: skip
 RULES = Rules(
-    answer_slack_ns=16 * MS, drain_grace_ns=500 * MS, cold_from=0.2, warm_within_ns=10 * SECOND,
-    tip_multiple=3.0, overload_for_ns=2 * SECOND,
+    answer_slack_ns=16 * MS, drain_grace_ns=500 * MS, initial_share=0.2, warm_up_ns=10 * SECOND,
+    overload_multiple=3.0, overload_window_ns=2 * SECOND,
 )  # fmt: skip
 
 
