--- a/bench/long_lives.py
+++ b/bench/long_lives.py
@@ -242,7 +242,7 @@
     world.run_between_regions(2 * SECOND)
     leading = world.machines[world.primary() or ""].member
     assert leading is not None
-    epoch = leading.primary_epoch
+    epoch = leading.state.known_primary.epoch
     world.change_bytes = CHANGE_BYTES
     most_kept = 0
     for _ in range(changes):
@@ -250,7 +250,7 @@
         primary = primary_part_of(leading)
         most_kept = max(most_kept, primary._log.size if primary is not None else 0)
         world.settle()
-    assert leading.primary_epoch == epoch
+    assert leading.state.known_primary.epoch == epoch
     world.free_at.clear()
     world.start(late)
     seconds = time_until_complete(world, 60 * SECOND) / SECOND
--- a/canvasbeam/cluster/node_core.py
+++ b/canvasbeam/cluster/node_core.py
@@ -174,11 +174,11 @@
 
     def contact_age(self, now: int) -> int | None:
         """Return the nanoseconds since the contact instant, by its own lease or its parents'; none before the first."""
-        return self.distribution.contact_age(now)
+        return self.distribution.standing.contact_age(now)
 
     def has_majority(self, now: int) -> bool:
         """Return whether the contact lease of this node is in force."""
-        instant = self.distribution.contact_instant
+        instant = self.distribution.standing.contact_instant
         return contact_state(instant, now, self.parameters.contact_timeout_ns) is ContactState.CONFIRMED
 
     @property
--- a/canvasbeam/control_plane/departure_wait.py
+++ b/canvasbeam/control_plane/departure_wait.py
@@ -19,15 +19,15 @@
     began_at_s = time.monotonic()
     driver.leave()
     # The member has no event for this: it decides in its ticks.
-    while not member.departure.may_end and time.monotonic() - began_at_s < within_s:  # noqa: ASYNC110
+    while not member.state.departure.may_end and time.monotonic() - began_at_s < within_s:  # noqa: ASYNC110
         await asyncio.sleep(TICK_SECONDS)
     _log_outcome(member, time.monotonic() - began_at_s)
 
 
 def _log_outcome(member: Member, waited_s: float) -> None:
-    match member.departure.state:
+    match member.state.departure.state:
         case DepartureState.GRANTED:
-            log.info("departure granted waited_s={:.1f} other_replicas={}", waited_s, member.departure.copies)
+            log.info("departure granted waited_s={:.1f} other_replicas={}", waited_s, member.state.departure.copies)
         case DepartureState.ALONE:
             log.info("departure without successor waited_s={:.1f} reason=no other member stays", waited_s)
         case _:
@@ -35,8 +35,8 @@
 
 
 def _why_not_granted(member: Member) -> str:
-    if not member.primary_id:
+    if not member.state.known_primary.member:
         return "no primary is known"
-    if member.known_view is not None and member.me in member.known_view.replicas:
+    if member.state.known_view.view is not None and member.me in member.state.known_view.view.replicas:
         return "too few other replicas are usable to form a view without this member"
-    return f"the primary {member.primary_id} has not put a view without this member in force"
+    return f"the primary {member.state.known_primary.member} has not put a view without this member in force"
--- a/canvasbeam/control_plane/member_driver.py
+++ b/canvasbeam/control_plane/member_driver.py
@@ -124,8 +124,8 @@
                     self._listeners.on_committed(state)
         if self._outbox.has_unwritten:
             self._has_unwritten.set()
-        self._listeners.on_view(self._member.known_view, self._member.known_in_force)
-        self._listeners.on_leadership(self.is_primary, self._member.primary_id)
+        self._listeners.on_view(self._member.state.known_view.view, self._member.state.known_view.in_force)
+        self._listeners.on_leadership(self.is_primary, self._member.state.known_primary.member)
 
     def _receive(self, received: ReceivedMessage) -> None:
         actions = self._member.receive(received.sender, received.message, time.monotonic_ns())
--- a/canvasbeam/control_plane/member_records.py
+++ b/canvasbeam/control_plane/member_records.py
@@ -120,7 +120,7 @@
         return state
     committed = int(stored.get(COMMITTED, b"0"))
     durable = DurableState(witness.promised, witness.accepted, witness.in_force, installed, state, committed)
-    return LoadedMember(stored[MEMBER].decode(), durable)
+    return LoadedMember(MemberId(stored[MEMBER].decode()), durable)
 
 
 def _load_state(stored: Mapping[str, bytes], codec: ControlStateCodec, apply: ApplyChange) -> ControlState | Failure:
--- a/canvasbeam/control_plane/replicated_state.py
+++ b/canvasbeam/control_plane/replicated_state.py
@@ -118,7 +118,7 @@
         if driver is None:
             return self._not_ready()
         if driver.is_primary:
-            await self._check.begin(driver.member.replica.state, change)
+            await self._check.begin(driver.member.state.replica.state, change)
         try:
             with self._calls.open() as call:
                 driver.submit(call.number, change)
@@ -150,9 +150,9 @@
     @property
     def primary_ip(self) -> str | None:
         """The IP address of the primary, where one is known."""
-        if self._driver is None or not self._driver.member.primary_id:
+        if self._driver is None or not self._driver.member.state.known_primary.member:
             return None
-        return member_ip(self._driver.member.primary_id)
+        return member_ip(self._driver.member.state.known_primary.member)
 
     @property
     def is_primary(self) -> bool:
--- a/canvasbeam/control_plane/replication_codec.py
+++ b/canvasbeam/control_plane/replication_codec.py
@@ -80,7 +80,8 @@
         """Return what `encode` was given, or a failure of code `MESSAGE_INVALID`."""
         try:
             envelope = wire.ReplicationEnvelope.FromString(data)
-            return ReceivedMessage(envelope.sender, self._message_of(envelope), envelope.life, envelope.answered_life)
+            sender, message = MemberId(envelope.sender), self._message_of(envelope)
+            return ReceivedMessage(sender, message, envelope.life, envelope.answered_life)
         except (DecodeError, ValueError, _UndecodableError) as error:
             return Failure(ResultCode.MESSAGE_INVALID, f"a replication message: {error}")
 
--- a/canvasbeam/control_plane/replication_records.py
+++ b/canvasbeam/control_plane/replication_records.py
@@ -14,7 +14,7 @@
 from canvasbeam.cluster.compression import pack, unpack
 from canvasbeam.replication.control_state import Change, ChangeKind
 from canvasbeam.replication.messages import SnapshotId
-from canvasbeam.replication.views import Epoch, Position, View
+from canvasbeam.replication.views import Epoch, MemberId, Position, View
 
 
 class HasAcceptedView(Protocol):
@@ -37,7 +37,7 @@
 
 def epoch_of(record: wire.EpochRecord) -> Epoch:
     """Return the epoch of a record."""
-    return Epoch(record.number_plus_one - 1, record.candidate)
+    return Epoch(record.number_plus_one - 1, MemberId(record.candidate))
 
 
 def view_record(view: View) -> wire.ViewRecord:
@@ -55,10 +55,10 @@
     """Return the view of a record."""
     return View(
         epoch_of(record.epoch),
-        record.primary,
-        tuple(record.replicas),
-        tuple(record.witnesses),
-        tuple(record.previous_witnesses),
+        MemberId(record.primary),
+        tuple(map(MemberId, record.replicas)),
+        tuple(map(MemberId, record.witnesses)),
+        tuple(map(MemberId, record.previous_witnesses)),
     )
 
 
--- a/canvasbeam/control_plane/replication_status.py
+++ b/canvasbeam/control_plane/replication_status.py
@@ -7,7 +7,7 @@
 from canvasbeam.replication.departure import DepartureState
 from canvasbeam.replication.member import Member
 from canvasbeam.replication.resilience import Resilience, resilience_of
-from canvasbeam.replication.views import MemberId
+from canvasbeam.replication.views import NO_MEMBER, MemberId
 
 NO_EPOCH_NUMBER = -1  # before a view is known
 DISK_OK = "ok"
@@ -17,10 +17,10 @@
 class ReplicationStatus:
     """What an operator wants to know of one member. `status.status_document` names the fields of the JSON document."""
 
-    member: MemberId = ""
+    member: MemberId = NO_MEMBER
     role: str = "starting"
     epoch: int = NO_EPOCH_NUMBER
-    primary: MemberId = ""
+    primary: MemberId = NO_MEMBER
     replicas: tuple[MemberId, ...] = ()
     witnesses: tuple[MemberId, ...] = ()
     committed_index: int = 0
@@ -35,20 +35,21 @@
     member: Member, *, committed_index: int, disk: str, stale_answers: int, tolerated_machines: int
 ) -> ReplicationStatus:
     """Return the status of a member that has begun."""
-    view = member.known_view
+    view = member.state.known_view.view
+    electorate = member.leadership or member.state.known_view
     return ReplicationStatus(
         member=member.me,
         role=member.role.name.lower(),
         epoch=NO_EPOCH_NUMBER if view is None else view.epoch.number,
-        primary=member.primary_id,
+        primary=member.state.known_primary.member,
         replicas=() if view is None else view.replicas,
         witnesses=() if view is None else view.witnesses,
         committed_index=committed_index,
-        stored_index=member.replica.state.index,
+        stored_index=member.state.replica.state.index,
         disk=disk,
         stale_answers=member.stale_answers + stale_answers,
         resilience=Resilience()
         if view is None
-        else resilience_of(view, member.is_reconfiguration_complete, tolerated_machines),
-        leaving=member.departure.state.name.lower(),
+        else resilience_of(view, electorate.is_reconfiguration_complete, tolerated_machines),
+        leaving=member.state.departure.state.name.lower(),
     )
--- a/canvasbeam/distribution/distribution.py
+++ b/canvasbeam/distribution/distribution.py
@@ -27,7 +27,6 @@
 from dataclasses import dataclass
 from typing import Any
 
-from canvasbeam.distribution.control_mesh import ControlMesh
 from canvasbeam.distribution.control_peers import ControlPeers
 from canvasbeam.distribution.document_exchange import DocumentExchange
 from canvasbeam.distribution.document_messages import Announce, DocumentChunk, DocumentRequest
@@ -46,9 +45,11 @@
     Update,
     Versions,
 )
+from canvasbeam.distribution.node_standing import NodeStanding
 from canvasbeam.distribution.outbox import Outbox
 from canvasbeam.distribution.parameters import DistributionParameters
 from canvasbeam.distribution.parent_link import Parent, ParentLink
+from canvasbeam.distribution.push_receivers import PushReceivers
 from canvasbeam.distribution.pushes import Pushes
 from canvasbeam.distribution.reconciliation import digests
 from canvasbeam.distribution.relay_children import Child, RelayChildren
@@ -94,8 +95,17 @@
         self._outbox = Outbox()
         self._topology = Topology(me, seeds, generator)
         self.link = ParentLink(parameters, self._topology.parent_order, self._subscription, seed=seed, now=now)
-        self._children = RelayChildren(table, parameters, self._outbox, self, incarnation=seed, now=now)
-        self._pushes = Pushes(table, parameters, self._outbox, self, now)
+        self.standing = NodeStanding(
+            parameters,
+            self.link,
+            self.control_peers,
+            self.relayed_lease,
+            self.documents,
+            is_control=me.is_control,
+        )
+        self._children = RelayChildren(table, parameters, self._outbox, self.standing, incarnation=seed, now=now)
+        receivers = PushReceivers(self.link, self._children, self.control_peers, is_control=me.is_control)
+        self._pushes = Pushes(table, parameters, self._outbox, receivers, now)
         self._scrub = Scrub(
             table, parameters, self._outbox, topology=self._topology, link=self.link, generator=generator, now=now
         )
@@ -205,67 +215,18 @@
             times.append(push_at)
         return min(times)
 
-    # --- how this node stands ---------------------------------------------------------------------
+    # --- what others ask of the node --------------------------------------------------------------
 
     @property
     def lease(self) -> ContactLease:
         """The contact lease of a control node; on a data-plane node, one that nobody grants."""
-        return self.control_peers.renewal.lease
-
-    @property
-    def mesh(self) -> ControlMesh:
-        """The other control nodes; empty on a data-plane node."""
-        return self.control_peers.mesh
+        return self.standing.lease
 
     @property
     def children(self) -> Mapping[Address, Child]:
         """The children in the relay tree."""
         return self._children.children
 
-    @property
-    def contact_instant(self) -> int | None:
-        """The contact instant of this node, by its own lease or through its parents; none before the first."""
-        return self.lease.instant if self.me.is_control else self.relayed_lease.instant
-
-    @property
-    def depth(self) -> int:
-        """Hops to a control node; beyond the deepest level while detached."""
-        if self.me.is_control:
-            return 0
-        parent = self.link.parent
-        return parent.depth + 1 if parent else self.parameters.max_depth + 1
-
-    @property
-    def newest_configuration(self) -> int:
-        """The index of the newest configuration that is known of, held or not."""
-        return self.documents.newest
-
-    def contact_age(self, now: int) -> int | None:
-        """Return how many nanoseconds ago the contact instant was; none before the first."""
-        instant = self.contact_instant
-        return None if instant is None else now - instant
-
-    def is_parent(self, address: Address) -> bool:
-        """Return whether this address is that of the parent."""
-        return self.link.is_parent(address)
-
-    def note_exchange(self, sent_at: int) -> None:
-        """Note that another node has what was sent then."""
-        self.lease.note_exchange(sent_at)
-
-    def tree_neighbours(self) -> list[Address]:
-        """Return the children and the parent."""
-        parent = self.link.parent
-        return [*self.children, *([parent.address] if parent else [])]
-
-    def responsive_mesh(self, now: int) -> tuple[Address, ...]:
-        """Return the other control nodes that respond; none for a data-plane node."""
-        return self.mesh.responsive(now) if self.me.is_control else ()
-
-    def mesh_addresses(self) -> Iterable[Address]:
-        """Return all other control nodes; none for a data-plane node."""
-        return self.mesh.addresses()
-
     # --- messages ---------------------------------------------------------------------------------
 
     def _note_seen(self, now: int, sender: Address) -> None:
--- a/canvasbeam/distribution/pushes.py
+++ b/canvasbeam/distribution/pushes.py
@@ -8,29 +8,16 @@
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
-from typing import Protocol
 
 from canvasbeam.distribution import reconciliation
 from canvasbeam.distribution.outbox import Outbox
 from canvasbeam.distribution.parameters import DistributionParameters
+from canvasbeam.distribution.push_receivers import PushReceivers
 from canvasbeam.distribution.tombstones import Tombstones
 from canvasbeam.item_table.items import Item, ItemName, ItemTable
 from canvasbeam.runtime.settings import Address
 
 
-class PushReceivers(Protocol):
-    """Who is sent changes."""
-
-    def tree_neighbours(self) -> list[Address]:
-        """Return the children and the parent."""
-
-    def responsive_mesh(self, now: int) -> tuple[Address, ...]:
-        """Return the other control nodes that respond; none for a data-plane node."""
-
-    def mesh_addresses(self) -> Iterable[Address]:
-        """Return all other control nodes; none for a data-plane node."""
-
-
 @dataclass(frozen=True, slots=True)
 class Change:
     """An item that was taken into the table, and the node that sent it; none for one of our own."""
--- a/canvasbeam/distribution/relay_children.py
+++ b/canvasbeam/distribution/relay_children.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Protocol
 
 from canvasbeam.distribution import reconciliation
 from canvasbeam.distribution.messages import (
@@ -19,6 +18,7 @@
     Subscribe,
     Unsubscribe,
 )
+from canvasbeam.distribution.node_standing import NodeStanding
 from canvasbeam.distribution.outbox import Outbox
 from canvasbeam.distribution.parameters import DistributionParameters
 from canvasbeam.item_table.items import ItemTable
@@ -34,27 +34,6 @@
     last_seen_at: int
 
 
-class NodeStanding(Protocol):
-    """What keepalives say of this node, and what decides whether it may have children."""
-
-    @property
-    def depth(self) -> int:
-        """Hops to a control node."""
-
-    @property
-    def newest_configuration(self) -> int:
-        """The index of the newest configuration that is known of, held or not."""
-
-    def contact_age(self, now: int) -> int | None:
-        """Return how many nanoseconds ago the contact instant was; none before the first."""
-
-    def is_parent(self, address: Address) -> bool:
-        """Return whether this address is that of the parent."""
-
-    def note_exchange(self, sent_at: int) -> None:
-        """Note that another node has what was sent then."""
-
-
 class RelayChildren:
     """The children of one node."""
 
--- a/canvasbeam/replication/candidate.py
+++ b/canvasbeam/replication/candidate.py
@@ -40,7 +40,7 @@
 )
 from canvasbeam.replication.snapshots import SnapshotSource
 from canvasbeam.replication.timing import ReplicationTiming
-from canvasbeam.replication.views import Epoch, MemberId, Position, View
+from canvasbeam.replication.views import NO_MEMBER, Epoch, MemberId, Position, View
 
 
 class Phase(Enum):
@@ -81,7 +81,7 @@
         self.view: View | None = None
         self.phase = Phase.PRE_VOTING
         self.has_prepared = False
-        self.source: MemberId = ""
+        self.source = NO_MEMBER
         self.source_position = Position(self.epoch, 0)
         self._plan = plan
         self._is_alive = is_alive
@@ -264,8 +264,11 @@
                 continue
             if answer.position.epoch == self.base.epoch and member not in self.base.replicas:
                 continue
-            better = best is None or self._promises[best].position.precedes(answer.position)
-            if better or (member == self.me and self._promises[str(best)].position == answer.position):
+            if best is None:
+                best = member
+                continue
+            position = self._promises[best].position
+            if position.precedes(answer.position) or (member == self.me and position == answer.position):
                 best = member
         return best
 
--- a/canvasbeam/replication/known_view.py
+++ b/canvasbeam/replication/known_view.py
@@ -7,7 +7,7 @@
 
 from canvasbeam.errors import Failure, ResultCode
 from canvasbeam.replication.messages import Heartbeat, Message, Prepare, PreVote, Refused, Send, ViewNotice
-from canvasbeam.replication.views import NO_EPOCH, Epoch, MemberId, View, member_ip
+from canvasbeam.replication.views import NO_EPOCH, NO_MEMBER, Epoch, MemberId, View, member_ip
 
 
 class KnownView:
@@ -50,14 +50,14 @@
     """Who leads, as far as the member knows: the sender of the newest heartbeat, or the member itself."""
 
     def __init__(self, me: MemberId) -> None:
-        self.member: MemberId = ""  # empty while none is known
+        self.member = NO_MEMBER  # empty while none is known
         self.epoch = NO_EPOCH  # of the last one that was known
         self._me = me
 
     @property
     def is_known(self) -> bool:
         """Whether there is a primary to name."""
-        return self.member != ""
+        return self.member != NO_MEMBER
 
     def follow(self, member: MemberId, epoch: Epoch) -> None:
         """Take a member for the primary of an epoch."""
@@ -66,7 +66,7 @@
 
     def forget(self) -> None:
         """Name no primary any more."""
-        self.member = ""
+        self.member = NO_MEMBER
 
     def stop_leading(self) -> None:
         """Forget the primary where it is this member."""
--- a/canvasbeam/replication/member.py
+++ b/canvasbeam/replication/member.py
@@ -14,10 +14,8 @@
 from canvasbeam.errors import Failure
 from canvasbeam.replication.candidate_role import CandidateRole
 from canvasbeam.replication.control_state import Change
-from canvasbeam.replication.departure import Departure
 from canvasbeam.replication.durable_state import DurableState, MemberSettings
 from canvasbeam.replication.follower import Follower
-from canvasbeam.replication.member_liveness import MemberLiveness
 from canvasbeam.replication.messages import (
     Accept,
     Action,
@@ -47,16 +45,15 @@
     SnapshotId,
     ViewNotice,
 )
+from canvasbeam.replication.primary import Primary
 from canvasbeam.replication.primary_role import PrimaryRole
 from canvasbeam.replication.removal import Removal, at_address
-from canvasbeam.replication.replica import Replica
 from canvasbeam.replication.responder import Responder, ToResponder, epoch_of
 from canvasbeam.replication.role_machine import RoleMachine
 from canvasbeam.replication.roles import TRANSITIONS, Outcome, Role, RoleEvent
 from canvasbeam.replication.shared_state import SharedState
 from canvasbeam.replication.snapshots import StateCodec
-from canvasbeam.replication.views import NO_EPOCH, ApplyChange, Epoch, MemberId, View
-from canvasbeam.replication.witness import Witness
+from canvasbeam.replication.views import NO_EPOCH, ApplyChange, Epoch, MemberId
 
 
 class Member:
@@ -74,7 +71,13 @@
     ) -> None:
         self.stale_answers = 0  # to calls of earlier candidacies and views
         self._shared = SharedState(
-            settings, durable, apply, apply_checked, now, codec=codec, is_caught_up=self._is_caught_up
+            settings,
+            durable,
+            apply,
+            apply_checked,
+            now,
+            codec=codec,
+            is_caught_up=self._is_caught_up,
         )
         self._responder = Responder(self._shared.witness, self._shared.replica, self._shared.snapshots)
         self._follower = Follower(self._shared)
@@ -94,60 +97,20 @@
         return self._machine.role
 
     @property
-    def witness(self) -> Witness:
-        """What the member promised and accepted."""
-        return self._shared.witness
+    def state(self) -> SharedState:
+        """What the member has in every role: its promises, its copy of the state, and what it knows of the others."""
+        return self._shared
 
     @property
-    def replica(self) -> Replica:
-        """The member's copy of the state."""
-        return self._shared.replica
-
-    @property
-    def liveness(self) -> MemberLiveness:
-        """When the others were last seen."""
-        return self._shared.liveness
-
-    @property
-    def departure(self) -> Departure:
-        """How far the member is with its end."""
-        return self._shared.departure
-
-    @property
-    def healthy(self) -> bool:
-        """Whether the disk works."""
-        return self._shared.healthy
-
-    @property
-    def known_view(self) -> View | None:
-        """The highest view that the member received."""
-        return self._shared.known_view.view
-
-    @property
-    def known_in_force(self) -> bool:
-        """Whether that view is known to be in force."""
-        return self._shared.known_view.in_force
-
-    @property
-    def primary_id(self) -> MemberId:
-        """The primary, as far as the member knows; empty while it knows of none."""
-        return self._shared.known_primary.member
-
-    @property
-    def primary_epoch(self) -> Epoch:
-        """The epoch of the primary that was known last."""
-        return self._shared.known_primary.epoch
-
-    @property
-    def is_reconfiguration_complete(self) -> bool:
-        """Whether no change of the electorate is open, as far as this member knows."""
-        return self._machine.is_reconfiguration_complete()
+    def leadership(self) -> Primary | None:
+        """What the member does as the primary; none while it is not."""
+        return self._machine.primary if isinstance(self._machine, PrimaryRole) else None
 
     # --- events -----------------------------------------------------------------------------------------------
 
     def begin(self) -> list[Action]:
         """Tell, as the first event, the state that was known to be committed when this member last ran."""
-        committed = self.replica.committed
+        committed = self._shared.replica.committed
         return [Publish(committed)] if committed.index else []
 
     def receive(self, sender: MemberId, message: Message, now: int) -> list[Action]:
@@ -160,7 +123,8 @@
                 self._shared.known_view.learn(message.view, message.in_force)
                 return []
             case PreVoteRequest():
-                return self._on_pre_vote_request(sender, message, now)
+                answer = self._shared.pre_vote(message.number, self._machine.finds_primary_unresponsive(now))
+                return [Send(sender, answer)]
             case Install(state=SnapshotId()) | FetchChunk() | Chunk():
                 return self._on_snapshot_message(sender, message, now)
             case Prepare() | Fetch() | Install() | Accept() | Append():
@@ -180,7 +144,7 @@
         shared = self._shared
         self._discount_stall(now)
         shared.snapshots.tick(now)
-        farewells = shared.departure.tick(self.known_view, shared.liveness, now)
+        farewells = shared.departure.tick(self._shared.known_view.view, shared.liveness, now)
         requests = shared.receiver.tick(now)
         return [*farewells, *requests, *self._carry_out(self._machine.tick(now), now)]
 
@@ -207,7 +171,7 @@
         """Stop leading, and let the others know."""
         known_view = self._shared.known_view
         epoch = known_view.epoch
-        others = dict.fromkeys((*known_view.members, *self.liveness.usable_outside(known_view.members, now)))
+        others = dict.fromkeys((*known_view.members, *self._shared.liveness.usable_outside(known_view.members, now)))
         was_primary = self.role in (Role.PRIMARY, Role.REFORMING)
         actions = self._become(RoleEvent.RESIGNED, now)
         if was_primary:
@@ -216,7 +180,7 @@
 
     def leave(self, now: int) -> list[Action]:
         """Hand the view on, and ask to be released (`departure.may_end`): the process is to end, perhaps for good."""
-        farewells = self.departure.begin(self.known_view, self.liveness, now)
+        farewells = self._shared.departure.begin(self._shared.known_view.view, self._shared.liveness, now)
         return [*farewells, *(self.resign(now) if self.role is not Role.FOLLOWER else [])]
 
     def removal(self, ip: str, now: int) -> Removal | Failure:
@@ -227,7 +191,7 @@
 
     def request_leave(self, ip: str) -> list[Action]:
         """Tell the members at an address to leave; it may be this one."""
-        members = (*self._shared.known_view.members, *self.liveness.known())
+        members = (*self._shared.known_view.members, *self._shared.liveness.known())
         return [Send(member, LeaveRequested()) for member in at_address(ip, members)]
 
     # --- the role ---------------------------------------------------------------------------------------------
@@ -243,7 +207,7 @@
     def _become(self, event: RoleEvent, now: int) -> list[Action]:
         """Change the role as the table says, and begin the new one. The only place where the role changes."""
         left = self._machine
-        view = self.known_view
+        view = self._shared.known_view.view
         match TRANSITIONS[left.role, event]:
             case Role.CANDIDATE | Role.REFORMING if view is not None:
                 reformed = left.primary if isinstance(left, PrimaryRole) else None
@@ -259,7 +223,7 @@
 
     def _yield_to(self, sender: MemberId, now: int) -> list[Action]:
         """Follow another member that leads, or is about to, in an epoch that this member does not refuse."""
-        self._shared.election.record_sign_of_primary(self.known_view, now)
+        self._shared.election.record_sign_of_primary(self._shared.known_view.view, now)
         if sender == self.me or self.role is Role.FOLLOWER:
             return []
         return self._become(RoleEvent.OTHER_LEADS, now)
@@ -289,36 +253,26 @@
 
     def _on_answer(self, sender: MemberId, answer: Answer, now: int) -> list[Action]:
         """Give an answer to whoever made the call; one that nobody awaits is counted and dropped."""
-        is_awaited = self.departure.has_begun if isinstance(answer, LeaveGranted) else self._machine.awaits(answer)
+        is_awaited = (
+            self._shared.departure.has_begun if isinstance(answer, LeaveGranted) else self._machine.awaits(answer)
+        )
         if not is_awaited:
             self.stale_answers += 1
             return []
         match answer:
             case LeaveGranted(epoch=epoch, copies=copies):
-                if epoch >= self.witness.promised:
-                    self.departure.take_grant(copies)
+                if epoch >= self._shared.witness.promised:
+                    self._shared.departure.take_grant(copies)
                 return []
             case Fetched(state=SnapshotId()):
                 is_wanted = self._machine.awaits_state(answer)
                 return [*self._shared.receiver.take_offer(sender, answer, now)] if is_wanted else []
         return self._carry_out(self._machine.take_answer(sender, answer, now), now)
 
-    def _on_pre_vote_request(self, sender: MemberId, message: PreVoteRequest, now: int) -> list[Action]:
-        shared = self._shared
-        answer = PreVote(
-            message.number,
-            self._machine.finds_primary_unresponsive(now),
-            shared.healthy,
-            max(shared.witness.promised, Epoch(shared.epoch_numbers.highest)),
-            shared.known_view.view,
-            shared.known_view.in_force,
-        )
-        return [Send(sender, answer)]
-
     def _respond(self, sender: MemberId, message: ToResponder, now: int) -> list[Action]:
         """Obey, as a witness and a replica, whoever leads in an epoch that is not refused."""
-        answers = self._responder.answer(sender, message, self.healthy)
-        if not isinstance(message, Prepare | Install | Accept) or self.witness.refuses(epoch_of(message)):
+        answers = self._responder.answer(sender, message, self._shared.healthy)
+        if not isinstance(message, Prepare | Install | Accept) or self._shared.witness.refuses(epoch_of(message)):
             return answers
         yielding = self._yield_to(sender, now)
         if isinstance(message, Accept):
@@ -326,7 +280,7 @@
         return [*yielding, *answers]
 
     def _on_heartbeat(self, sender: MemberId, message: Heartbeat, now: int) -> list[Action]:
-        known_primary, witness = self._shared.known_primary, self.witness
+        known_primary, witness = self._shared.known_primary, self._shared.witness
         newest = max(witness.promised, known_primary.epoch)
         if message.epoch < newest:
             return [Send(sender, Refused(message.epoch, newest))]
@@ -334,12 +288,12 @@
         known_primary.follow(sender, message.epoch)
         # Says only that no higher epoch is promised, which memory knows no later than the disk.
         accepted = NO_EPOCH if witness.accepted is None else witness.accepted.epoch
-        ack = HeartbeatAck(message.epoch, message.sequence, self.healthy, accepted, witness.in_force)
+        ack = HeartbeatAck(message.epoch, message.sequence, self._shared.healthy, accepted, witness.in_force)
         return [*yielding, Send(sender, ack), *self._commit(message.epoch, message.committed)]
 
     def _commit(self, epoch: Epoch, index: int) -> list[Action]:
         """Tell that everything up to an index is committed, and store that, which nothing waits for."""
-        newer = self.replica.commit(epoch, index)
+        newer = self._shared.replica.commit(epoch, index)
         return [] if newer is None else [Publish(newer), SaveCommitted(newer.index)]
 
     def _on_resign(self, sender: MemberId, epoch: Epoch, now: int) -> list[Action]:
@@ -348,12 +302,12 @@
             shared.known_primary.forget()
             if not shared.liveness.is_leaving(sender):
                 shared.liveness.record_failure(sender, now)
-            shared.election.record_resignation(self.known_view, now)
+            shared.election.record_resignation(self._shared.known_view.view, now)
         return []
 
     def _on_leave(self, sender: MemberId, standbys: Collection[MemberId], now: int) -> list[Action]:
         """Release a member that is to end, or tell it the view, and with it that this member is there."""
-        self.liveness.record_leaving(sender, now)
+        self._shared.liveness.record_leaving(sender, now)
         granted = self._machine.release(sender, standbys, now)
         return [*self._shared.known_view.notices_for(sender)] if granted is None else [Send(sender, granted)]
 
@@ -365,7 +319,7 @@
                 return [] if chunk is None else [Send(sender, chunk)]
             case Chunk():
                 return self._on_chunk(message, now)
-        if self.witness.refuses(message.epoch) or not self._responder.needs(message):
+        if self._shared.witness.refuses(message.epoch) or not self._responder.needs(message):
             return self._respond(sender, message, now)
         return [*self._yield_to(sender, now), *self._shared.receiver.take_offer(sender, message, now)]
 
@@ -377,28 +331,3 @@
             return [*self._shared.receiver.tick(now)]
         source, message = complete
         return self.receive(source, message, now)
-
-    # --- invariants -------------------------------------------------------------------------------------------
-
-    def broken_invariants(self) -> list[str]:
-        """Return what does not hold of this member between two events; empty unless there is a fault in the code."""
-        shared, promised = self._shared, self.witness.promised
-        accepted = self.witness.accepted
-        broken: list[str] = []
-        if accepted is not None and accepted.epoch > promised:
-            broken.append(f"accepted {accepted.epoch} above the promised {promised}")
-        if self.replica.epoch > promised:
-            broken.append(f"installed {self.replica.epoch} above the promised {promised}")
-        if self.replica.committed.index > self.replica.state.index:
-            broken.append(f"committed {self.replica.committed.index} above the stored {self.replica.state.index}")
-        if isinstance(self._machine, PrimaryRole):
-            view = self._machine.primary.view
-            if view.primary != self.me or shared.known_view.epoch < view.epoch:
-                broken.append(f"leads in {view}, knows {shared.known_view.view}")
-            if promised > view.epoch:
-                broken.append(f"leads in {view.epoch} after it promised {promised}")
-            if self.replica.epoch != view.epoch:
-                broken.append(f"leads in {view.epoch} with a replica of {self.replica.epoch}")
-        if not shared.healthy and self.role is not Role.FOLLOWER:
-            broken.append(f"acts as {self.role.name} without its disk")
-        return broken
--- a/canvasbeam/replication/primary_role.py
+++ b/canvasbeam/replication/primary_role.py
@@ -156,10 +156,6 @@
         del now
         return False
 
-    def is_reconfiguration_complete(self) -> bool:
-        """Return whether the electorate of this view is final."""
-        return self.primary.is_reconfiguration_complete
-
     def _leave_out_overdue(self, candidate: Candidate, view: View, now: int) -> None:
         """Whoever answered too late to be a replica is not taken in again at once."""
         liveness = self._shared.liveness
--- a/canvasbeam/replication/role_machine.py
+++ b/canvasbeam/replication/role_machine.py
@@ -75,7 +75,3 @@
     def finds_primary_unresponsive(self, now: int) -> bool:
         """Return the answer to a candidate that asks for a pre-vote."""
         return self._shared.finds_primary_unresponsive(now)
-
-    def is_reconfiguration_complete(self) -> bool:
-        """Return whether no change of the electorate is open, as far as this machine knows."""
-        return self._shared.known_view.is_reconfiguration_complete
--- a/canvasbeam/replication/shared_state.py
+++ b/canvasbeam/replication/shared_state.py
@@ -12,10 +12,11 @@
 from canvasbeam.replication.election_timer import ElectionTimer
 from canvasbeam.replication.known_view import EpochNumbers, KnownPrimary, KnownView
 from canvasbeam.replication.member_liveness import MemberLiveness
+from canvasbeam.replication.messages import PreVote
 from canvasbeam.replication.replica import Replica
 from canvasbeam.replication.snapshots import SnapshotReceiver, SnapshotSource, StateCodec
 from canvasbeam.replication.view_planning import ViewPlanner
-from canvasbeam.replication.views import ApplyChange, MemberId
+from canvasbeam.replication.views import ApplyChange, Epoch, MemberId
 from canvasbeam.replication.witness import Witness
 
 
@@ -59,3 +60,14 @@
     def finds_primary_unresponsive(self, now: int) -> bool:
         """Return whether no primary is known, or the known one gave no sign for too long."""
         return self.election.is_primary_unresponsive(now) or not self.known_primary.is_known
+
+    def pre_vote(self, number: int, finds_primary_unresponsive: bool) -> PreVote:
+        """Return the answer to a candidate that asks whether this member, too, finds the primary unresponsive."""
+        return PreVote(
+            number,
+            finds_primary_unresponsive,
+            self.healthy,
+            max(self.witness.promised, Epoch(self.epoch_numbers.highest)),
+            self.known_view.view,
+            self.known_view.in_force,
+        )
--- a/canvasbeam/replication/views.py
+++ b/canvasbeam/replication/views.py
@@ -8,19 +8,21 @@
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
+from typing import NewType
 
 from canvasbeam.errors import Failure
 from canvasbeam.replication.control_state import Change, ControlState
 
-MemberId = str  # "ip/disk": a machine with one life of its disk
+MemberId = NewType("MemberId", str)  # "ip/disk": a machine with one incarnation of its disk
 ApplyChange = Callable[[ControlState, Change], ControlState | Failure]
 
 GENESIS_DISK = "0"
+NO_MEMBER = MemberId("")
 
 
 def member_id(ip: str, disk: str) -> MemberId:
     """Return the name of a member."""
-    return f"{ip}/{disk}"
+    return MemberId(f"{ip}/{disk}")
 
 
 def member_ip(member: MemberId) -> str:
@@ -33,7 +35,7 @@
     """The number of a view. The candidate's name makes the epochs of two candidates differ."""
 
     number: int = 0
-    candidate: MemberId = ""
+    candidate: MemberId = NO_MEMBER
 
 
 NO_EPOCH = Epoch(-1)
@@ -74,7 +76,7 @@
 def genesis_view(seed_ips: Collection[str]) -> View:
     """Return the view that every member of the first start begins with: no primary, and an empty state."""
     members = tuple(member_id(ip, GENESIS_DISK) for ip in sorted(set(seed_ips)))
-    return View(GENESIS_EPOCH, "", members, members, members)
+    return View(GENESIS_EPOCH, NO_MEMBER, members, members, members)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/cli/test_storage_report.py
+++ b/tests/cli/test_storage_report.py
@@ -19,12 +19,12 @@
 from canvasbeam.replication.control_state import Change, ChangeKind, ControlState
 from canvasbeam.replication.durable_state import DurableState
 from canvasbeam.replication.messages import SaveChange
-from canvasbeam.replication.views import Epoch, View
+from canvasbeam.replication.views import Epoch, MemberId, View
 from canvasbeam.storage.disk import FolderDisk
 from canvasbeam.storage.store import Store, open_store
 from tests.cli.test_validation import CONFIGURATION
 
-MEMBER = "127.0.0.11/0"
+MEMBER = MemberId("127.0.0.11/0")
 
 
 def changed(state: ControlState, change: Change) -> ControlState:
@@ -40,7 +40,7 @@
     put = Change(ChangeKind.PUT_CONFIGURATION, json.dumps(CONFIGURATION).encode())
     state = changed(ControlState(), put)
     epoch = Epoch(4, MEMBER)
-    view = View(epoch, MEMBER, (MEMBER, "127.0.0.12/0"), (MEMBER,), (MEMBER,))
+    view = View(epoch, MEMBER, (MEMBER, MemberId("127.0.0.12/0")), (MEMBER,), (MEMBER,))
     durable = DurableState(Epoch(5, MEMBER), view, True, epoch, state)
     writer = RecordWriter(ControlStateCodec(encode_state, decode_state), {})
     assert store.update(writer.first(MEMBER, durable)) is None
@@ -63,7 +63,7 @@
     assert member is not None
     assert (member.member, member.promised_epoch, member.installed_epoch) == (MEMBER, 5, 4)
     assert member.view is not None
-    assert member.view["replicas"] == [MEMBER, "127.0.0.12/0"]
+    assert member.view["replicas"] == [MEMBER, MemberId("127.0.0.12/0")]
     assert (member.state_index, member.configuration_generation, member.evacuated_zones) == (2, 3, ("z1",))
     assert content(tmp_path) == before
 
--- a/tests/cluster/test_calls.py
+++ b/tests/cluster/test_calls.py
@@ -208,7 +208,7 @@
     for sender in MEMBERS[:2]:
         member.receive(sender, missed(probe.number), SECOND)
     assert member.stale_answers == 6
-    assert member.witness.promised.candidate == MEMBERS[0], "the candidate went on to ask for promises"
+    assert member.state.witness.promised.candidate == MEMBERS[0], "the candidate went on to ask for promises"
 
 
 # --- between nodes --------------------------------------------------------------------------------
--- a/tests/control_plane/test_change_check.py
+++ b/tests/control_plane/test_change_check.py
@@ -12,6 +12,7 @@
 from canvasbeam.replication.control_state import Change, ChangeKind, ControlState
 from canvasbeam.replication.member_liveness import MemberLiveness
 from canvasbeam.replication.timing import ReplicationTiming
+from canvasbeam.replication.views import MemberId
 from canvasbeam.units import SECOND
 
 LIMITS = {
@@ -91,6 +92,6 @@
 
 def test_an_own_pause_is_not_the_silence_of_others() -> None:
     liveness = MemberLiveness(ReplicationTiming())
-    liveness.record_message("10.0.0.2/0", 0)
+    liveness.record_message(MemberId("10.0.0.2/0"), 0)
     liveness.discount_stall(3 * SECOND)
-    assert liveness.is_alive("10.0.0.2/0", 3 * SECOND)
+    assert liveness.is_alive(MemberId("10.0.0.2/0"), 3 * SECOND)
--- a/tests/control_plane/test_member_records.py
+++ b/tests/control_plane/test_member_records.py
@@ -11,12 +11,16 @@
 from canvasbeam.replication.control_state import Change, ChangeKind, ControlState
 from canvasbeam.replication.durable_state import DurableState
 from canvasbeam.replication.messages import SaveChange, SaveCommitted, SaveInstalled, SaveWitness
-from canvasbeam.replication.views import Epoch, View
+from canvasbeam.replication.views import Epoch, MemberId, View
 from canvasbeam.storage.frames import Updates
 
-EPOCH = Epoch(7, "10.0.0.1/0")
+EPOCH = Epoch(7, MemberId("10.0.0.1/0"))
 VIEW = View(
-    EPOCH, "10.0.0.1/0", ("10.0.0.1/0", "10.0.0.2/x"), ("10.0.0.1/0", "10.0.0.2/x", "10.0.0.3/0"), ("10.0.0.1/0",)
+    EPOCH,
+    MemberId("10.0.0.1/0"),
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.2/x")),
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.2/x"), MemberId("10.0.0.3/0")),
+    (MemberId("10.0.0.1/0"),),
 )
 STATE = ControlState(index=3, generation=9, configuration={"generation": 9, "routes": ["r"] * MIN_COMPRESSED_BYTES})
 
@@ -40,20 +44,20 @@
 def test_a_member_is_found_again_as_it_was_saved() -> None:
     stored: dict[str, bytes] = {}
     writer = RecordWriter(states(), stored)
-    keep(stored, writer.first("10.0.0.2/x", DurableState()))
+    keep(stored, writer.first(MemberId("10.0.0.2/x"), DurableState()))
     saves = evacuated(3 * MAX_CHANGES + 5)
     for save in saves:
         keep(stored, writer.updates([save]))
         assert len(stored) <= MAX_CHANGES + 6
     keep(stored, writer.updates([SaveWitness(EPOCH, VIEW, True), SaveInstalled(EPOCH, None), SaveCommitted(4)]))
     expected = DurableState(EPOCH, VIEW, True, EPOCH, saves[-1].state, 4)
-    assert load_member(stored, states(), apply) == LoadedMember("10.0.0.2/x", expected)
+    assert load_member(stored, states(), apply) == LoadedMember(MemberId("10.0.0.2/x"), expected)
 
 
 def test_an_installed_state_replaces_the_changes() -> None:
     stored: dict[str, bytes] = {}
     writer = RecordWriter(states(), stored)
-    keep(stored, writer.first("10.0.0.2/x", DurableState()))
+    keep(stored, writer.first(MemberId("10.0.0.2/x"), DurableState()))
     keep(stored, writer.updates(evacuated(3)))
     keep(stored, writer.updates([SaveInstalled(EPOCH, STATE)]))
     loaded = load_member(stored, states(), apply)
--- a/tests/control_plane/test_replication_codec.py
+++ b/tests/control_plane/test_replication_codec.py
@@ -13,11 +13,15 @@
 from canvasbeam.errors import Failure, ResultCode
 from canvasbeam.replication import messages
 from canvasbeam.replication.control_state import Change, ChangeKind, ControlState
-from canvasbeam.replication.views import NO_EPOCH, Epoch, Position, View
+from canvasbeam.replication.views import NO_EPOCH, Epoch, MemberId, Position, View
 
-EPOCH = Epoch(7, "10.0.0.1/0")
+EPOCH = Epoch(7, MemberId("10.0.0.1/0"))
 VIEW = View(
-    EPOCH, "10.0.0.1/0", ("10.0.0.1/0", "10.0.0.2/x"), ("10.0.0.1/0", "10.0.0.2/x", "10.0.0.3/0"), ("10.0.0.1/0",)
+    EPOCH,
+    MemberId("10.0.0.1/0"),
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.2/x")),
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.2/x"), MemberId("10.0.0.3/0")),
+    (MemberId("10.0.0.1/0"),),
 )
 STATE = ControlState(index=3, generation=9, configuration={"generation": 9, "routes": ["r"] * MIN_COMPRESSED_BYTES})
 CHANGE = Change(ChangeKind.PUT_CONFIGURATION, b'{"generation":' + b" " * MIN_COMPRESSED_BYTES + b"9}", 4, "")
@@ -52,7 +56,7 @@
     messages.Append(EPOCH, 3, (CHANGE, EVACUATION), 2),
     messages.Appended(EPOCH, 5),
     messages.Resign(EPOCH),
-    messages.Leave(standbys=("10.0.0.4/a", "10.0.0.5/b")),
+    messages.Leave(standbys=(MemberId("10.0.0.4/a"), MemberId("10.0.0.5/b"))),
     messages.LeaveGranted(EPOCH, 3),
     messages.LeaveRequested(),
 )
@@ -68,7 +72,9 @@
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda each: type(each).__name__)
 def test_every_message_comes_back(message: messages.Message) -> None:
-    assert codec().decode(codec().encode("10.0.0.1/0", message)) == ReceivedMessage("10.0.0.1/0", message)
+    assert codec().decode(codec().encode(MemberId("10.0.0.1/0"), message)) == ReceivedMessage(
+        MemberId("10.0.0.1/0"), message
+    )
 
 
 def test_every_kind_of_message_is_tried() -> None:
@@ -84,7 +90,7 @@
 
 def test_a_garbled_message_never_raises() -> None:
     for message in MESSAGES:
-        whole = codec().encode("10.0.0.1/0", message)
+        whole = codec().encode(MemberId("10.0.0.1/0"), message)
         for position in range(0, len(whole), max(1, len(whole) // 60)):
             damaged = bytearray(whole)
             damaged[position] ^= 0x41
--- a/tests/distribution/test_soft_state_explorer.py
+++ b/tests/distribution/test_soft_state_explorer.py
@@ -25,6 +25,7 @@
 from canvasbeam.distribution.document_history import DocumentHistory
 from canvasbeam.distribution.document_receiver import DocumentReceiver
 from canvasbeam.distribution.messages import Message
+from canvasbeam.distribution.node_standing import NodeStanding
 from canvasbeam.distribution.parent_link import ParentLink
 from canvasbeam.distribution.pushes import Pushes
 from canvasbeam.item_table import items
@@ -136,11 +137,11 @@
 # --- planted faults -------------------------------------------------------------------------------------------------
 
 
-def contact_from_what_is_heard(self: Distribution) -> int | None:
+def contact_from_what_is_heard(self: NodeStanding) -> int | None:
     """The majority of what arrives, whoever may have had our messages."""
-    if not self.me.is_control:
-        return self.relayed_lease.instant
-    heard = sorted((peer.last_seen_at for peer in self.mesh.peers.values()), reverse=True)
+    if not self._is_control:
+        return self._relayed_lease.instant
+    heard = sorted((peer.last_seen_at for peer in self._control_peers.mesh.peers.values()), reverse=True)
     return heard[len(heard) // 2 - 1] if len(heard) > 1 else None
 
 
@@ -241,7 +242,7 @@
 
 FAULTS: dict[str, Fault] = {
     "contact from what is heard": Fault(
-        (plant(Distribution, "contact_instant", property(contact_from_what_is_heard)),),
+        (plant(NodeStanding, "contact_instant", property(contact_from_what_is_heard)),),
         VouchedWithoutContact,
         (trouble.a_control_is_cut_from_the_others,),
     ),
--- a/tests/distribution/test_soft_state_scenarios.py
+++ b/tests/distribution/test_soft_state_scenarios.py
@@ -210,7 +210,7 @@
         story.run(STEP)
         leader = story.world.primary()
         assert leader is not None
-        epochs.add(leader.member.primary_epoch)
+        epochs.add(leader.member.state.known_primary.epoch)
     return len(epochs)
 
 
--- a/tests/golden/test_golden_messages.py
+++ b/tests/golden/test_golden_messages.py
@@ -49,7 +49,7 @@
 from canvasbeam.leases.peer_clock import SendTime
 from canvasbeam.replication import messages as replication
 from canvasbeam.replication.control_state import Change, ChangeKind, ControlState
-from canvasbeam.replication.views import Epoch, Position, View
+from canvasbeam.replication.views import NO_MEMBER, Epoch, MemberId, Position, View
 from canvasbeam.service_discovery.worker_registry import Model, Worker, WorkerState
 from tests.golden.files import DESCRIPTORS, MESSAGES, read_bytes_by_name
 
@@ -98,15 +98,15 @@
 
 # --- values of replication ----------------------------------------------------------------------------------------
 
-EPOCH = Epoch(7, "10.0.0.1/0")
-HIGHER_EPOCH = Epoch(8, "10.0.0.2/0123456789abcdef")
-NO_EPOCH = Epoch(-1, "")
+EPOCH = Epoch(7, MemberId("10.0.0.1/0"))
+HIGHER_EPOCH = Epoch(8, MemberId("10.0.0.2/0123456789abcdef"))
+NO_EPOCH = Epoch(-1, NO_MEMBER)
 VIEW = View(
     EPOCH,
-    "10.0.0.1/0",
-    ("10.0.0.1/0", "10.0.0.2/0123456789abcdef"),
-    ("10.0.0.1/0", "10.0.0.2/0123456789abcdef", "10.0.0.3/0"),
-    ("10.0.0.1/0", "10.0.0.3/0", "10.0.0.4/0"),
+    MemberId("10.0.0.1/0"),
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.2/0123456789abcdef")),
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.2/0123456789abcdef"), MemberId("10.0.0.3/0")),
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.3/0"), MemberId("10.0.0.4/0")),
 )
 POSITION = Position(EPOCH, 300)
 SNAPSHOT = replication.SnapshotId(b"0123456789abcdef", 1 << 22)
@@ -156,11 +156,11 @@
     "resign": replication.Resign(EPOCH),
     "fetch_piece": replication.FetchChunk(SNAPSHOT, 2),
     "piece": replication.Chunk(SNAPSHOT, 2, b"\x00\x01piece", 0xFFFFFFFF),
-    "leave": replication.Leave(("10.0.0.4/a", "10.0.0.5/b")),
+    "leave": replication.Leave((MemberId("10.0.0.4/a"), MemberId("10.0.0.5/b"))),
     "leave_granted": replication.LeaveGranted(EPOCH, 3),
     "leave_requested": replication.LeaveRequested(),
 }
-SENDER = "10.0.0.2/0123456789abcdef"
+SENDER = MemberId("10.0.0.2/0123456789abcdef")
 LIFE = 0x1122334455667788
 ANSWERED_LIFE = 0x7FFFFFFFFFFFFFFF
 
@@ -247,7 +247,7 @@
     "witness/without_view": witness_case(StoredWitness(NO_EPOCH, None, False)),
     "epoch": Case("EpochRecord", EPOCH, encode_epoch, decode_epoch),
     "epoch/none": Case("EpochRecord", NO_EPOCH, encode_epoch, decode_epoch),
-    "epoch/genesis": Case("EpochRecord", Epoch(0, ""), encode_epoch, decode_epoch),
+    "epoch/genesis": Case("EpochRecord", Epoch(0, NO_MEMBER), encode_epoch, decode_epoch),
     **{
         f"change/{number}": Case("ChangeRecord", change, encode_change, decode_change)
         for number, change in enumerate(CHANGES, 1)
--- a/tests/golden/test_golden_stores.py
+++ b/tests/golden/test_golden_stores.py
@@ -37,7 +37,7 @@
 from canvasbeam.replication.control_state import Change, ChangeKind, ControlState
 from canvasbeam.replication.durable_state import DurableState
 from canvasbeam.replication.messages import Save, SaveChange, SaveCommitted, SaveInstalled, SaveWitness
-from canvasbeam.replication.views import Epoch, View
+from canvasbeam.replication.views import NO_MEMBER, Epoch, MemberId, View
 from canvasbeam.runtime.settings import Address, ProcessSettings
 from canvasbeam.storage.disk import FolderDisk
 from canvasbeam.storage.store import Store, open_store
@@ -48,15 +48,15 @@
 
 # --- a member with changes since its snapshot ---------------------------------------------------------------------
 
-MEMBER = "10.0.0.2/0123456789abcdef"
-EPOCH = Epoch(7, "10.0.0.1/0")
-NO_EPOCH = Epoch(-1, "")
+MEMBER = MemberId("10.0.0.2/0123456789abcdef")
+EPOCH = Epoch(7, MemberId("10.0.0.1/0"))
+NO_EPOCH = Epoch(-1, NO_MEMBER)
 VIEW = View(
     EPOCH,
-    "10.0.0.1/0",
-    ("10.0.0.1/0", "10.0.0.2/0123456789abcdef"),
-    ("10.0.0.1/0", "10.0.0.2/0123456789abcdef", "10.0.0.3/0"),
-    ("10.0.0.1/0", "10.0.0.3/0"),
+    MemberId("10.0.0.1/0"),
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.2/0123456789abcdef")),
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.2/0123456789abcdef"), MemberId("10.0.0.3/0")),
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.3/0")),
 )
 FIRST_KEY = bytes.fromhex("0000000000000000000102030405060708090a0b")  # if-match 0
 # If-match 7, and the digest of the kind and the body of `PUT`.
@@ -119,22 +119,28 @@
 
 # --- a member that has left ---------------------------------------------------------------------------------------
 
-LEFT_MEMBER = "10.0.0.3/0"
+LEFT_MEMBER = MemberId("10.0.0.3/0")
 GENESIS = View(
-    Epoch(0, ""),
-    "",
-    ("10.0.0.1/0", "10.0.0.2/0", "10.0.0.3/0"),
-    ("10.0.0.1/0", "10.0.0.2/0", "10.0.0.3/0"),
-    ("10.0.0.1/0", "10.0.0.2/0", "10.0.0.3/0"),
+    Epoch(0, NO_MEMBER),
+    NO_MEMBER,
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.2/0"), MemberId("10.0.0.3/0")),
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.2/0"), MemberId("10.0.0.3/0")),
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.2/0"), MemberId("10.0.0.3/0")),
+)
+FIRST_EPOCH, LEFT_EPOCH = Epoch(1, MemberId("10.0.0.1/0")), Epoch(2, MemberId("10.0.0.2/0"))
+FIRST_VIEW = View(
+    FIRST_EPOCH,
+    MemberId("10.0.0.1/0"),
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.3/0")),
+    GENESIS.witnesses,
+    GENESIS.witnesses,
 )
-FIRST_EPOCH, LEFT_EPOCH = Epoch(1, "10.0.0.1/0"), Epoch(2, "10.0.0.2/0")
-FIRST_VIEW = View(FIRST_EPOCH, "10.0.0.1/0", ("10.0.0.1/0", "10.0.0.3/0"), GENESIS.witnesses, GENESIS.witnesses)
 LEFT_VIEW = View(
     LEFT_EPOCH,
-    "10.0.0.1/0",
-    ("10.0.0.1/0", "10.0.0.2/0"),
-    ("10.0.0.1/0", "10.0.0.2/0", "10.0.0.4/fedcba9876543210"),
-    ("10.0.0.1/0", "10.0.0.2/0", "10.0.0.3/0"),
+    MemberId("10.0.0.1/0"),
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.2/0")),
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.2/0"), MemberId("10.0.0.4/fedcba9876543210")),
+    (MemberId("10.0.0.1/0"), MemberId("10.0.0.2/0"), MemberId("10.0.0.3/0")),
 )
 LEFT_STATE = ControlState(index=1, evacuated_zones=("north",), evacuation_index=1)
 LEFT_BATCHES: Sequence[Sequence[Save]] = (
@@ -190,7 +196,7 @@
 
 def write_left(folder: Path) -> None:
     """The store of the member that has left."""
-    begin = DurableState(Epoch(0, ""), GENESIS, True, Epoch(0, ""), ControlState(), 0)
+    begin = DurableState(Epoch(0, NO_MEMBER), GENESIS, True, Epoch(0, NO_MEMBER), ControlState(), 0)
     write_batches(folder, LEFT_BATCHES, LoadedMember(LEFT_MEMBER, begin))
 
 
@@ -318,10 +324,10 @@
     ("name", "expected"),
     [
         # Its state is ahead of what is known to be committed: it tells none until it hears more.
-        ("changes", ("10.0.0.2/0123456789abcdef", 7, 6, 0, "ok")),
-        ("truncated", ("10.0.0.2/0123456789abcdef", 7, 5, 0, "ok")),
-        ("compressed", ("10.0.0.2/0123456789abcdef", 7, 1, 0, "ok")),
-        ("left", ("10.0.0.3/0", 2, 1, 1, "ok")),
+        ("changes", (MemberId("10.0.0.2/0123456789abcdef"), 7, 6, 0, "ok")),
+        ("truncated", (MemberId("10.0.0.2/0123456789abcdef"), 7, 5, 0, "ok")),
+        ("compressed", (MemberId("10.0.0.2/0123456789abcdef"), 7, 1, 0, "ok")),
+        ("left", (MemberId("10.0.0.3/0"), 2, 1, 1, "ok")),
     ],
 )
 def test_a_process_begins_with_its_golden_store(
--- a/tests/leases/test_contact_cuts.py
+++ b/tests/leases/test_contact_cuts.py
@@ -74,7 +74,7 @@
 
 def test_below_relays_the_ages_stay_below_the_staleness_of_a_parent() -> None:
     network, controls, edges = fleet(edges=60)
-    deepest = max(edge.core.distribution.depth for edge in edges)
+    deepest = max(edge.core.distribution.standing.depth for edge in edges)
     assert deepest == 2
     for _ in range(300):
         network.run(13 * MS)
@@ -214,7 +214,7 @@
 def test_keepalives_that_were_held_on_the_way_are_as_old_as_they_are() -> None:
     network, controls, edges = fleet()
     child = children_of(network, controls[0])[0]
-    before = child.core.distribution.contact_instant
+    before = child.core.distribution.standing.contact_instant
     network.stall(controls, [child])
     network.run(SECOND)
     held_until = network.now
@@ -226,7 +226,7 @@
     network.lose_message = lambda source, target, message: target == child.address
     for _ in range(300):
         network.run(10 * MS)
-        instant = child.core.distribution.contact_instant
+        instant = child.core.distribution.standing.contact_instant
         assert before is not None
         assert instant is not None
         assert before <= instant <= held_until
@@ -242,7 +242,7 @@
     network.cut([controls[0]], controls[1:])
     network.release()
     network.run(60 * MS)
-    instant = controls[0].core.distribution.contact_instant
+    instant = controls[0].core.distribution.standing.contact_instant
     assert instant is not None
     assert instant <= held_since
     network.run(STALE)
@@ -261,7 +261,7 @@
     network.run(4 * SECOND + MS)
     assert not is_in_contact(network, controls[0])
     assert not controls[0].core.has_recent_exchange(network.now)
-    instant = controls[0].core.distribution.contact_instant
+    instant = controls[0].core.distribution.standing.contact_instant
     assert instant is not None
     assert instant <= frozen_at
     network.run_until(lambda: is_in_contact(network, controls[0]), 500 * MS)
--- a/tests/leases/test_contact_faults.py
+++ b/tests/leases/test_contact_faults.py
@@ -34,7 +34,8 @@
 
     def broken(self: Distribution, now: int, sender: Address, message: Message) -> None:
         receive(self, now, sender, message)
-        if 2 * (1 + len(self.mesh.responsive(now))) > 1 + len(self.mesh.peers):
+        mesh = self.control_peers.mesh
+        if 2 * (1 + len(mesh.responsive(now))) > 1 + len(mesh.peers):
             self.lease.instant = now
 
     patch.setattr(Distribution, "receive", broken)
--- a/tests/replication/test_bounded_memory.py
+++ b/tests/replication/test_bounded_memory.py
@@ -10,22 +10,22 @@
 from canvasbeam.replication.member_liveness import MemberLiveness
 from canvasbeam.replication.messages import Appended, SaveCommitted, Send
 from canvasbeam.replication.timing import ReplicationTiming
-from canvasbeam.replication.views import Epoch
+from canvasbeam.replication.views import Epoch, MemberId
 from canvasbeam.runtime.settings import Address
 from canvasbeam.service_discovery import worker_registry
 from canvasbeam.service_discovery.worker_registry import ReceivedHeartbeat, Worker, WorkerRegistry, WorkerState
 
-EPOCH = Epoch(1, "10.0.0.1/0")
+EPOCH = Epoch(1, MemberId("10.0.0.1/0"))
 WORKER = Worker("llm", "10.0.0.9:8080", "z1")
 
 
 def test_members_whose_disks_were_lost_are_forgotten() -> None:
     known = MemberLiveness(ReplicationTiming())
     for life in range(100):
-        known.record_message(f"10.0.0.2/{life}", life * liveness.FORGET_AFTER_NS // 10)
+        known.record_message(MemberId(f"10.0.0.2/{life}"), life * liveness.FORGET_AFTER_NS // 10)
     assert len(known.known()) <= 11
-    assert known.is_replaceable("10.0.0.2/0", 10 * liveness.FORGET_AFTER_NS)
-    assert known.is_alive("10.0.0.2/99", 99 * liveness.FORGET_AFTER_NS // 10)
+    assert known.is_replaceable(MemberId("10.0.0.2/0"), 10 * liveness.FORGET_AFTER_NS)
+    assert known.is_alive(MemberId("10.0.0.2/99"), 99 * liveness.FORGET_AFTER_NS // 10)
 
 
 def test_workers_that_left_are_forgotten_after_a_while_and_those_that_may_return_are_not() -> None:
@@ -49,10 +49,10 @@
     outbox = Outbox()
     outbox.take([SaveCommitted(1)])
     for _ in range(100):
-        assert outbox.take([Send("10.0.0.1/0", Appended(EPOCH, 1))]) == []
-    outbox.take([Send("10.0.0.1/0", Appended(EPOCH, 2))])
+        assert outbox.take([Send(MemberId("10.0.0.1/0"), Appended(EPOCH, 1))]) == []
+    outbox.take([Send(MemberId("10.0.0.1/0"), Appended(EPOCH, 2))])
     outbox.next_batch()
-    assert outbox.batch_durable() == [Send("10.0.0.1/0", Appended(EPOCH, index)) for index in (1, 2)]
+    assert outbox.batch_durable() == [Send(MemberId("10.0.0.1/0"), Appended(EPOCH, index)) for index in (1, 2)]
 
 
 def test_a_transport_forgets_peers_to_which_nothing_is_sent() -> None:
--- a/tests/replication/test_change_histories.py
+++ b/tests/replication/test_change_histories.py
@@ -224,7 +224,7 @@
     """It has an equal one in progress, which was stored everywhere and has been taken back by its successor."""
     old = await configured(simulation)
     first = asyncio.create_task(simulation.call("a", old.ip, evacuate("z1")))
-    while old.member is None or old.member.replica.state.evacuated_zones != ("z1",):
+    while old.member is None or old.member.state.replica.state.evacuated_zones != ("z1",):
         await asyncio.sleep(0.001)
     old.freeze()
     await first
--- a/tests/replication/test_departure.py
+++ b/tests/replication/test_departure.py
@@ -10,7 +10,7 @@
     Send,
 )
 from canvasbeam.replication.timing import ReplicationTiming
-from canvasbeam.replication.views import Epoch, View
+from canvasbeam.replication.views import Epoch, MemberId, View
 from tests.support.membership_simulation import (
     SECOND,
     leave,
@@ -20,7 +20,7 @@
     started,
 )
 
-A, B, C, D = (f"10.0.0.{number}/0" for number in range(1, 5))
+A, B, C, D = (MemberId(f"10.0.0.{number}/0") for number in range(1, 5))
 
 
 def test_a_departure_by_its_table() -> None:
@@ -55,5 +55,5 @@
     ip = others(simulation, primary_of(simulation))[0]
     member = member_of(simulation, ip)
     leave(simulation, ip)
-    member.receive(member.primary_id, LeaveGranted(Epoch(0, A), 2), simulation.now)
-    assert not member.departure.may_end
+    member.receive(member.state.known_primary.member, LeaveGranted(Epoch(0, A), 2), simulation.now)
+    assert not member.state.departure.may_end
--- a/tests/replication/test_durability.py
+++ b/tests/replication/test_durability.py
@@ -5,10 +5,10 @@
 from canvasbeam.replication.control_state import Change, ChangeKind, ControlState
 from canvasbeam.replication.durability import Outbox
 from canvasbeam.replication.messages import Appended, Heartbeat, Promise, SaveChange, SaveWitness, Send
-from canvasbeam.replication.views import NO_EPOCH, Epoch, Position
+from canvasbeam.replication.views import NO_EPOCH, Epoch, MemberId, Position
 
-B = "10.0.0.2/0"
-NEXT = Epoch(5, "10.0.0.1/0")
+B = MemberId("10.0.0.2/0")
+NEXT = Epoch(5, MemberId("10.0.0.1/0"))
 SAVE = SaveWitness(NEXT, None, False)
 CHANGE = SaveChange(Change(ChangeKind.START_EVACUATION, zone="z"), ControlState(index=1))
 PROMISE = Send(B, Promise(NEXT, None, False, Position(NO_EPOCH, 0), True))
--- a/tests/replication/test_member_liveness.py
+++ b/tests/replication/test_member_liveness.py
@@ -4,12 +4,13 @@
 
 from canvasbeam.replication.member_liveness import MemberLiveness
 from canvasbeam.replication.timing import ReplicationTiming
+from canvasbeam.replication.views import MemberId
 from tests.support.membership_simulation import (
     SECOND,
 )
 
-A, B, C = (f"10.0.0.{number}/0" for number in range(1, 4))
-C_WIPED = "10.0.0.3/new"
+A, B, C = (MemberId(f"10.0.0.{number}/0") for number in range(1, 4))
+C_WIPED = MemberId("10.0.0.3/new")
 
 
 def test_a_member_is_steady_after_it_was_heard_for_a_while() -> None:
--- a/tests/replication/test_removal.py
+++ b/tests/replication/test_removal.py
@@ -6,7 +6,7 @@
 
 from canvasbeam.errors import Failure, ResultCode
 from canvasbeam.replication.removal import Removal, removal_of
-from canvasbeam.replication.views import Epoch, View
+from canvasbeam.replication.views import Epoch, MemberId, View
 from tests.support.membership_simulation import (
     CATCH_UP_LIMIT_NS,
     SECOND,
@@ -24,7 +24,7 @@
     ReplicationSimulation,
 )
 
-A, B, C, D = (f"10.0.0.{number}/0" for number in range(1, 5))
+A, B, C, D = (MemberId(f"10.0.0.{number}/0") for number in range(1, 5))
 NEW = "10.0.0.9"
 
 
@@ -62,7 +62,7 @@
     unknown = ask_removal(simulation, NEW)
     assert isinstance(unknown, Failure)
     assert unknown.code is ResultCode.MEMBER_UNKNOWN
-    assert not any(member_of(simulation, ip).departure.has_begun for ip in simulation.machines)
+    assert not any(member_of(simulation, ip).state.departure.has_begun for ip in simulation.machines)
 
 
 def test_one_spare_makes_up_for_one_removal_only() -> None:
--- a/tests/replication/test_replication_catch_up.py
+++ b/tests/replication/test_replication_catch_up.py
@@ -10,12 +10,12 @@
 from canvasbeam.replication.replica import Replica
 from canvasbeam.replication.snapshots import QUICK_ANSWER_NS, SLOW_ANSWER_NS, SnapshotSource
 from canvasbeam.replication.timing import ReplicationTiming
-from canvasbeam.replication.views import Epoch, Position
+from canvasbeam.replication.views import Epoch, MemberId, Position
 from tests.support.replication_simulation import apply_tag
 
-EPOCH = Epoch(4, "10.0.0.1/0")
-BEGAN_AT = Position(Epoch(3, "10.0.0.1/0"), 7)
-MEMBER = "10.0.0.2/x"
+EPOCH = Epoch(4, MemberId("10.0.0.1/0"))
+BEGAN_AT = Position(Epoch(3, MemberId("10.0.0.1/0")), 7)
+MEMBER = MemberId("10.0.0.2/x")
 
 
 def change(size: int) -> Change:
--- a/tests/replication/test_replication_long_lives.py
+++ b/tests/replication/test_replication_long_lives.py
@@ -67,7 +67,7 @@
     assert not primary._rounds.sent_at or len(primary._rounds.sent_at) < 10
     assert set(primary._rounds.answered) <= set(primary.view.witnesses)
     for ip in simulation.machines:
-        assert len(member_of(simulation, ip).replica._uncommitted) <= 1
+        assert len(member_of(simulation, ip).state.replica._uncommitted) <= 1
 
 
 def test_a_replica_that_missed_changes_gets_them_while_it_is_in_the_view() -> None:
--- a/tests/replication/test_replication_membership.py
+++ b/tests/replication/test_replication_membership.py
@@ -64,7 +64,7 @@
 )
 
 WALKS = int(os.environ.get("EXPLORER_WALKS", "40"))
-E = "10.0.0.5/0"  # a member that nobody knows
+E = MemberId("10.0.0.5/0")  # a member that nobody knows
 NEW = "10.0.0.9"
 PARTED_STEPS = 60
 FIRST = "10.0.0.1"  # the first primary
@@ -83,7 +83,7 @@
     ip = primary_of(simulation) if leads else others(simulation, primary_of(simulation))[0]
     leave(simulation, ip)
     assert run_until(simulation, lambda: may_end(simulation, ip), 2 * SECOND) is not None
-    assert member_of(simulation, ip).departure.copies == machines - 1
+    assert member_of(simulation, ip).state.departure.copies == machines - 1
     assert ip not in copies(simulation)
     simulation.crash(ip, keep_unsynced=True)
     acknowledge(simulation)
@@ -104,6 +104,11 @@
     assert run_until(simulation, partial(may_end, simulation, backup), 3 * SECOND // 4) is not None
 
 
+def is_reconfiguration_complete(member: Member) -> bool:
+    """Return whether no change of the electorate is open, as far as a member knows."""
+    return (member.leadership or member.state.known_view).is_reconfiguration_complete
+
+
 def test_the_end_of_a_replacement_is_settled_in_a_round_trip() -> None:
     simulation = started()
     simulation.add(NEW, (primary_of(simulation),))
@@ -111,11 +116,11 @@
     primary = member_of(simulation, primary_of(simulation))
     leave(simulation, others(simulation, primary_of(simulation), NEW)[0])
     assert (
-        run_until(simulation, lambda: primary.role is Role.PRIMARY and not primary.is_reconfiguration_complete, SECOND)
+        run_until(simulation, lambda: primary.role is Role.PRIMARY and not is_reconfiguration_complete(primary), SECOND)
         is not None
     )
     assert (
-        run_until(simulation, lambda: primary.is_reconfiguration_complete, 2 * LATENCY_NS + 2 * SYNC_TIME_NS)
+        run_until(simulation, lambda: is_reconfiguration_complete(primary), 2 * LATENCY_NS + 2 * SYNC_TIME_NS)
         is not None
     )
 
@@ -127,7 +132,7 @@
     for ip in list(simulation.machines):
         leave(simulation, ip)
         assert run_until(simulation, partial(may_end, simulation, ip), LEAVE_LIMIT_NS) is not None
-        assert member_of(simulation, ip).departure.state is DepartureState.GRANTED
+        assert member_of(simulation, ip).state.departure.state is DepartureState.GRANTED
         simulation.crash(ip, keep_unsynced=True)
         simulation.run_between_regions(SECOND)
         simulation.start(ip)
@@ -160,7 +165,7 @@
     for ip in simulation.machines:
         leave(simulation, ip)
     assert run_until(simulation, lambda: all(may_end(simulation, ip) for ip in simulation.machines), SECOND) is not None
-    assert all(member_of(simulation, ip).departure.state is DepartureState.ALONE for ip in simulation.machines)
+    assert all(member_of(simulation, ip).state.departure.state is DepartureState.ALONE for ip in simulation.machines)
 
 
 @pytest.mark.parametrize("third_may_lead", [True, False])
@@ -174,13 +179,13 @@
     simulation.crash(third, keep_unsynced=True)
     simulation.start(third)
     simulation.run_between_regions(CATCH_UP_LIMIT_NS)
-    assert member_of(simulation, leaving).liveness.is_leaving(simulation.machines[third].me)
+    assert member_of(simulation, leaving).state.liveness.is_leaving(simulation.machines[third].me)
     simulation.set_healthy(third, third_may_lead)
     leave(simulation, primary)
     leave(simulation, leaving)
 
     def is_alone() -> bool:
-        return any(member_of(simulation, ip).departure.state is DepartureState.ALONE for ip in (primary, leaving))
+        return any(member_of(simulation, ip).state.departure.state is DepartureState.ALONE for ip in (primary, leaving))
 
     assert run_until(simulation, is_alone, LEAVE_LIMIT_NS) is None
 
@@ -198,8 +203,10 @@
 def test_a_member_that_leaves_is_told_the_view_by_those_that_stay() -> None:
     simulation = started()
     member = member_of(simulation, others(simulation, primary_of(simulation))[0])
-    assert member.known_view is not None
-    assert Send(E, ViewNotice(member.known_view, member.known_in_force)) in member.receive(E, Leave(), simulation.now)
+    assert member.state.known_view.view is not None
+    assert Send(E, ViewNotice(member.state.known_view.view, member.state.known_view.in_force)) in member.receive(
+        E, Leave(), simulation.now
+    )
 
 
 def test_spares_are_told_that_the_primary_resigns() -> None:
@@ -609,7 +616,7 @@
 
 def let_go_at_once(self: Member, sender: MemberId, standbys: Collection[MemberId], now: int) -> list[Action]:
     del standbys
-    self.liveness.record_leaving(sender, now)
+    self.state.liveness.record_leaving(sender, now)
     primary = primary_part_of(self)
     if primary is None:
         return []
@@ -678,7 +685,7 @@
             until = self._leaves_at.get(machine.me)
             if machine.member is None or until is None:
                 continue
-            if machine.member.departure.may_end or self.simulation.now >= until:
+            if machine.member.state.departure.may_end or self.simulation.now >= until:
                 self._restart(machine.ip)
         if self._chance.random() < 0.03:
             self._leave(self._chance.choice(list(self.simulation.machines)))
--- a/tests/replication/test_replication_restarts.py
+++ b/tests/replication/test_replication_restarts.py
@@ -135,7 +135,7 @@
 
 def candidate_finds_no_source_but_a_replica() -> None:
     """Three of five voters promise: one was catching up in the last view, two are of an older one. Then a replica."""
-    one, two, three, four, five = (f"10.0.0.{number}/0" for number in range(1, 6))
+    one, two, three, four, five = (MemberId(f"10.0.0.{number}/0") for number in range(1, 6))
     voters = (one, two, three, four, five)
     base = View(Epoch(4, one), one, (one, two), voters, voters)
     attempt = Epoch(6, four)
@@ -199,21 +199,21 @@
 
 
 def test_a_late_copy_of_an_install_does_not_take_a_replica_back() -> None:
-    epoch = Epoch(4, "10.0.0.1/0")
+    epoch = Epoch(4, MemberId("10.0.0.1/0"))
     earlier, later = (ControlState(index=index) for index in (3, 5))
     replica = Replica(apply, epoch, later, 0)
     responder = Responder(Witness(epoch, None, False), replica, SnapshotSource(None))
     install = Install(epoch, Position(epoch, earlier.index), earlier)
-    answers = responder.answer("10.0.0.1/0", install, True)
+    answers = responder.answer(MemberId("10.0.0.1/0"), install, True)
     assert replica.state is later
-    assert answers == [Send("10.0.0.1/0", Installed(epoch, stored=True, index=later.index))]
+    assert answers == [Send(MemberId("10.0.0.1/0"), Installed(epoch, stored=True, index=later.index))]
 
 
 # --- power lost while a snapshot is written -----------------------------------------------------------------------
 
-BEFORE = Epoch(3, "10.0.0.1/0")
-AFTER = Epoch(9, "10.0.0.3/0")
-ME = "10.0.0.2/x"
+BEFORE = Epoch(3, MemberId("10.0.0.1/0"))
+AFTER = Epoch(9, MemberId("10.0.0.3/0"))
+ME = MemberId("10.0.0.2/x")
 
 
 def codec() -> ControlStateCodec:
--- a/tests/replication/test_replication_snapshots.py
+++ b/tests/replication/test_replication_snapshots.py
@@ -25,7 +25,7 @@
     SnapshotReceiver,
     SnapshotSource,
 )
-from canvasbeam.replication.views import Epoch, Position
+from canvasbeam.replication.views import Epoch, MemberId, Position
 from tests.replication.test_replication_times import (
     SECOND,
     is_complete,
@@ -36,7 +36,7 @@
 from tests.support.replication_simulation import STEP_NS, TagCodec
 from tests.support.slow_links import FIVE_MBIT, SlowLinkSimulation
 
-EPOCH = Epoch(3, "10.0.0.1/0")
+EPOCH = Epoch(3, MemberId("10.0.0.1/0"))
 PIECE = 100
 CODEC = TagCodec(1000)
 STATE = ControlState(index=2, evacuated_zones=("t1", "t2"))
@@ -77,7 +77,7 @@
 
 def test_all_pieces_make_the_state_again() -> None:
     source, receiver = pair()
-    sends = receiver.take_offer("a", offer_of(source), 0)
+    sends = receiver.take_offer(MemberId("a"), offer_of(source), 0)
     assert len(sends) == INITIAL_CHUNKS_IN_FLIGHT
     assert collect(source, receiver, sends, 0) == replace(offer_of(source), state=STATE)
     assert receiver.received_bytes == 0
@@ -85,7 +85,7 @@
 
 def test_a_lost_piece_is_asked_for_again_alone() -> None:
     source, receiver = pair()
-    sends = receiver.take_offer("a", offer_of(source), 0)
+    sends = receiver.take_offer(MemberId("a"), offer_of(source), 0)
     lost, *others = chunks_for(source, sends)
     for chunk in others:
         receiver.take_chunk(chunk, 0)
@@ -113,7 +113,7 @@
 )
 def test_a_damaged_piece_is_not_kept(damage: Damage) -> None:
     source, receiver = pair()
-    sends = receiver.take_offer("a", offer_of(source), 0)
+    sends = receiver.take_offer(MemberId("a"), offer_of(source), 0)
     receiver.take_chunk(damage(chunks_for(source, sends)[0]), 0)
     assert receiver.received_bytes == 0
 
@@ -121,23 +121,23 @@
 def test_pieces_that_do_not_make_the_snapshot_that_was_offered_are_dropped() -> None:
     source, receiver = pair()
     offer = offer_of(source)
-    for chunk in chunks_for(source, receiver.take_offer("a", offer, 0)):
+    for chunk in chunks_for(source, receiver.take_offer(MemberId("a"), offer, 0)):
         other = bytes(len(chunk.data))
         receiver.take_chunk(replace(chunk, data=other, checksum=zlib.crc32(other)), 0)
     with pytest.raises(AssertionError):
         collect(source, receiver, receiver.tick(0), 0)
     assert receiver.received_bytes == 0
-    assert collect(source, receiver, receiver.take_offer("a", offer, 0), 0).state == STATE
+    assert collect(source, receiver, receiver.take_offer(MemberId("a"), offer, 0), 0).state == STATE
 
 
 def test_pieces_are_kept_when_another_source_offers_the_same_state() -> None:
     source, receiver = pair()
-    for chunk in chunks_for(source, receiver.take_offer("a", offer_of(source), 0)):
+    for chunk in chunks_for(source, receiver.take_offer(MemberId("a"), offer_of(source), 0)):
         receiver.take_chunk(chunk, 0)
     held = receiver.received_bytes
     second = SnapshotSource(CODEC, PIECE)
     offer = offer_of(second, epoch=replace(EPOCH, number=4))
-    sends = receiver.take_offer("b", offer, 0)
+    sends = receiver.take_offer(MemberId("b"), offer, 0)
     assert held == INITIAL_CHUNKS_IN_FLIGHT * PIECE == receiver.received_bytes
     assert {each.to for each in sends} == {"b"}
     assert collect(second, receiver, sends, 0) == replace(offer, state=STATE)
@@ -146,18 +146,18 @@
 def test_another_state_begins_anew_and_an_older_offer_changes_nothing() -> None:
     source, receiver = pair()
     old = offer_of(source)
-    for chunk in chunks_for(source, receiver.take_offer("a", old, 0)):
+    for chunk in chunks_for(source, receiver.take_offer(MemberId("a"), old, 0)):
         receiver.take_chunk(chunk, 0)
     newer = ControlState(index=3, evacuated_zones=("t1", "t2", "t3"))
-    sends = receiver.take_offer("a", offer_of(source, newer), 0)
+    sends = receiver.take_offer(MemberId("a"), offer_of(source, newer), 0)
     assert receiver.received_bytes == 0
-    assert receiver.take_offer("a", old, 0) == []
+    assert receiver.take_offer(MemberId("a"), old, 0) == []
     assert collect(source, receiver, sends, 0).state == newer
 
 
 def test_an_unfinished_snapshot_is_dropped_when_nothing_comes_any_more() -> None:
     source, receiver = pair()
-    for chunk in chunks_for(source, receiver.take_offer("a", offer_of(source), 0)):
+    for chunk in chunks_for(source, receiver.take_offer(MemberId("a"), offer_of(source), 0)):
         receiver.take_chunk(chunk, 0)
     assert receiver.tick(SNAPSHOT_IDLE_NS + 1) == []
     assert receiver.received_bytes == 0
@@ -379,7 +379,7 @@
     codec = ControlStateCodec(encode, decode_state)
     source, receiver = SnapshotSource(codec, PIECE), SnapshotReceiver(codec, PIECE)
     offer = Install(EPOCH, Position(EPOCH, state.index), source.offer(state))
-    received = collect(source, receiver, receiver.take_offer("a", offer, 0), 0).state
+    received = collect(source, receiver, receiver.take_offer(MemberId("a"), offer, 0), 0).state
     assert isinstance(received, ControlState)
     return received
 
--- a/tests/replication/test_replication_times.py
+++ b/tests/replication/test_replication_times.py
@@ -24,7 +24,7 @@
         return False
     member = simulation.machines[primary].member
     assert member is not None
-    view = member.known_view
+    view = member.state.known_view.view
     everybody = {machine.me for machine in simulation.machines.values()}
     return view is not None and set(view.replicas) == everybody == set(view.witnesses)
 
--- a/tests/replication/test_resilience.py
+++ b/tests/replication/test_resilience.py
@@ -5,9 +5,9 @@
 import pytest
 
 from canvasbeam.replication.resilience import Resilience, resilience_of
-from canvasbeam.replication.views import Epoch, View
+from canvasbeam.replication.views import Epoch, MemberId, View
 
-A, B, C, D, E = (f"10.0.0.{number}/0" for number in range(1, 6))
+A, B, C, D, E = (MemberId(f"10.0.0.{number}/0") for number in range(1, 6))
 
 
 @pytest.mark.parametrize(
--- a/tests/replication/test_view_planning.py
+++ b/tests/replication/test_view_planning.py
@@ -12,7 +12,7 @@
     SECOND,
 )
 
-A, B, C = (f"10.0.0.{number}/0" for number in range(1, 4))
+A, B, C = (MemberId(f"10.0.0.{number}/0") for number in range(1, 4))
 
 
 def test_a_candidate_waits_a_little_for_those_that_stay() -> None:
--- a/tests/replication/test_view_rules.py
+++ b/tests/replication/test_view_rules.py
@@ -9,8 +9,8 @@
 from canvasbeam.replication.view_rules import fewest_replicas, plan_view, plan_witnesses
 from canvasbeam.replication.views import Epoch, MemberId, View, genesis_view
 
-A, B, C, D, E, F = (f"10.0.0.{number}/0" for number in range(1, 7))
-C_WIPED = "10.0.0.3/new"
+A, B, C, D, E, F = (MemberId(f"10.0.0.{number}/0") for number in range(1, 7))
+C_WIPED = MemberId("10.0.0.3/new")
 NEXT = Epoch(5, A)
 BASE = View(Epoch(4, A), A, (A, B, C), (A, B, C), (A, B, C))
 
--- a/tests/support/change_simulation.py
+++ b/tests/support/change_simulation.py
@@ -224,8 +224,12 @@
         self._tell_primary()
 
     def _tell_primary(self) -> None:
-        if self.member is not None and self._api is not None and self.member.primary_id != self._told_primary:
-            self._told_primary = self.member.primary_id
+        if (
+            self.member is not None
+            and self._api is not None
+            and self.member.state.known_primary.member != self._told_primary
+        ):
+            self._told_primary = self.member.state.known_primary.member
             self._api.on_primary(self.primary_ip)
 
     def _apply(self, state: ControlState, change: Change) -> ControlState | Failure:
@@ -236,8 +240,8 @@
 
     def _forget_orders(self, member: Member) -> None:
         """A planted fault: what decides repeats is not handed on."""
-        forgetful = replace(member.replica.state, applied_change_keys=())
-        member.replica.advance(forgetful)
+        forgetful = replace(member.state.replica.state, applied_change_keys=())
+        member.state.replica.advance(forgetful)
 
     def _tick(self, life: int) -> None:
         if life != self._life or self.member is None:
@@ -288,11 +292,15 @@
 
     @property
     def state(self) -> ControlState:
-        return ControlState() if self.member is None else self.member.replica.committed
+        return ControlState() if self.member is None else self.member.state.replica.committed
 
     @property
     def primary_ip(self) -> str | None:
-        return member_ip(self.member.primary_id) if self.member is not None and self.member.primary_id else None
+        return (
+            member_ip(self.member.state.known_primary.member)
+            if self.member is not None and self.member.state.known_primary.member
+            else None
+        )
 
     @property
     def is_primary(self) -> bool:
--- a/tests/support/membership_simulation.py
+++ b/tests/support/membership_simulation.py
@@ -43,7 +43,9 @@
 
 def view_of(simulation: ReplicationSimulation) -> View:
     """The newest view that any running member knows."""
-    views = [machine.member.known_view for machine in simulation.machines.values() if machine.member is not None]
+    views = [
+        machine.member.state.known_view.view for machine in simulation.machines.values() if machine.member is not None
+    ]
     return max((view for view in views if view is not None), key=lambda view: view.epoch)
 
 
@@ -88,7 +90,7 @@
 
 def may_end(simulation: ReplicationSimulation, ip: str) -> bool:
     machine = simulation.machines.get(ip)
-    return machine is not None and machine.member is not None and machine.member.departure.may_end
+    return machine is not None and machine.member is not None and machine.member.state.departure.may_end
 
 
 def run_until(simulation: ReplicationSimulation, condition: Callable[[], bool], limit: int) -> int | None:
--- a/tests/support/replication_simulation.py
+++ b/tests/support/replication_simulation.py
@@ -16,6 +16,7 @@
 from canvasbeam.replication.control_state import Change, ChangeKind, Committed, ControlState
 from canvasbeam.replication.durability import Outbox
 from canvasbeam.replication.durable_state import DurableState, MemberSettings
+from canvasbeam.replication.invariants import broken_invariants
 from canvasbeam.replication.member import Member
 from canvasbeam.replication.messages import (
     AFTER_SYNC,
@@ -373,16 +374,17 @@
         if ip is None:
             raise InvariantError(f"no primary after the recovery: {self.describe()}")
         member = self.machines[ip].member
-        assert member is not None and member.known_view is not None
+        assert member is not None and member.state.known_view.view is not None
         everybody = {machine.me for machine in self.machines.values()}
-        if set(member.known_view.replicas) != everybody:
+        if set(member.state.known_view.view.replicas) != everybody:
             raise InvariantError(f"not everybody is a replica again: {self.describe()}")
         for machine in self.machines.values():
             if not self.acknowledged <= set(machine.durable.state.evacuated_zones):
                 raise InvariantError(f"{machine.me} lacks what was acknowledged")
 
     def _check_member(self, machine: Machine) -> None:
-        broken = [] if machine.member is None else machine.member.broken_invariants()
+        member = machine.member
+        broken = [] if member is None else broken_invariants(member.state, member.role, member.leadership)
         if broken:
             raise InvariantError(f"{machine.me}: {'; '.join(broken)}")
 
@@ -422,7 +424,7 @@
                 raise InvariantError(f"{call.tag} was acknowledged with a state that lacks it")
             self.acknowledged.add(call.tag)
         assert machine.member is not None
-        epoch = machine.member.primary_epoch
+        epoch = machine.member.state.known_primary.epoch
         if self.leaders.setdefault(epoch, machine.me) != machine.me:
             raise InvariantError(f"two primaries acknowledged in {epoch}")
 
@@ -479,7 +481,7 @@
         lines = []
         for machine in self.machines.values():
             member = machine.member
-            role = "down" if member is None else f"{member.role.name} knows {member.known_view}"
+            role = "down" if member is None else f"{member.role.name} knows {member.state.known_view.view}"
             lines.append(f"{machine.me}: {role}; disk {machine.durable}")
         return "\n".join(lines)
 
--- a/tests/support/soft_state_invariants.py
+++ b/tests/support/soft_state_invariants.py
@@ -227,7 +227,11 @@
     def _observe_electorates(self) -> None:
         views: list[View] = []
         for control in self.world.controls():
-            views += [each for each in (control.member.known_view, control.member.witness.accepted) if each is not None]
+            views += [
+                each
+                for each in (control.member.state.known_view.view, control.member.state.witness.accepted)
+                if each is not None
+            ]
         newest = max(views, key=lambda view: view.epoch, default=None)
         self._electorates = list(dict.fromkeys(each for view in views for each in _electorates(view)))
         self._newest_electorates = [] if newest is None else _electorates(newest)
@@ -281,7 +285,7 @@
 
     def _observe_leadership(self) -> None:
         primary = self.world.primary()
-        leadership = None if primary is None else (primary, primary.member.primary_epoch)
+        leadership = None if primary is None else (primary, primary.member.state.known_primary.epoch)
         is_same = leadership is not None and leadership == self._leadership
         self._leadership = leadership
         leads = primary is not None and self.reach(primary.machine).in_touch.since is not None
--- a/tests/support/soft_state_walk.py
+++ b/tests/support/soft_state_walk.py
@@ -162,7 +162,7 @@
             return None
         answered, result = self.world.answers[-1]
         if answered is call and isinstance(result, Failure) and result.code is ResultCode.NOT_PRIMARY:
-            return self._process_at(member_ip(process.member.primary_id))
+            return self._process_at(member_ip(process.member.state.known_primary.member))
         return None
 
     def _process_at(self, ip: str) -> ControlProcess | None:
--- a/tests/support/soft_state_world.py
+++ b/tests/support/soft_state_world.py
@@ -37,6 +37,7 @@
 from canvasbeam.replication.messages import Send as ReplicationSend
 from canvasbeam.replication.views import (
     GENESIS_DISK,
+    NO_MEMBER,
     MemberId,
     View,
     genesis_view,
@@ -98,7 +99,7 @@
     is_removed: bool = False
     process: Process | None = None
     ended_at: int = 0  # when its last process ended, while none runs
-    member: MemberId = ""
+    member: MemberId = NO_MEMBER
     durable: DurableState = field(default_factory=DurableState)
 
     @cached_property
@@ -423,7 +424,7 @@
 
     def _tell_electorates(self) -> None:
         """The witnesses of the newest view grant leases; while it is not settled, also those of the one before."""
-        view, is_settled = self.member.known_view, self.member.known_in_force
+        view, is_settled = self.member.state.known_view.view, self.member.state.known_view.in_force
         if view is None or (view, is_settled) == self._told_view:
             return
         self._told_view = view, is_settled
@@ -466,7 +467,7 @@
     def _end_when_let_go(self, until: int) -> None:
         if not self.is_running:
             return
-        is_let_go = self.member.departure.may_end and not self.is_frozen
+        is_let_go = self.member.state.departure.may_end and not self.is_frozen
         if not is_let_go and self.world.now < until:
             self.world.network.at(self.world.now + REPLICATION_TICK, lambda: self._end_when_let_go(until))
             return
@@ -827,8 +828,12 @@
 
     def primary(self) -> ControlProcess | None:
         """Who says that it leads, the newest epoch first."""
-        leading = [each for each in self.controls() if each.member.primary_id == each.member.me and not each.is_frozen]
-        return max(leading, key=lambda each: each.member.primary_epoch, default=None)
+        leading = [
+            each
+            for each in self.controls()
+            if each.member.state.known_primary.member == each.member.me and not each.is_frozen
+        ]
+        return max(leading, key=lambda each: each.member.state.known_primary.epoch, default=None)
 
 
 def seconds(count: float) -> int:
