--- a/canvasbeam/cli/commands.py
+++ b/canvasbeam/cli/commands.py
@@ -15,6 +15,7 @@
 import click
 
 from canvasbeam.cli.exit_codes import EXIT_CODE_HELP, ExitCode
+from canvasbeam.version import VERSION
 
 Parameters = ParamSpec("Parameters")
 Returned = TypeVar("Returned")
@@ -66,7 +67,7 @@
     epilog=EXIT_CODE_HELP,
     context_settings={"help_option_names": ["-h", "--help"]},
 )
-@click.version_option(package_name=None, version="0.2.0", prog_name="canvasbeam")
+@click.version_option(package_name=None, version=VERSION, prog_name="canvasbeam")
 def cli() -> None:
     """Run the command that the arguments name."""
 
--- a/canvasbeam/cluster/node.py
+++ b/canvasbeam/cluster/node.py
@@ -228,11 +228,11 @@
             return
         if self._has_contact is not None:
             versions = ControlVersions.of(self.table)
-            configuration = f"configuration {versions.configuration}, evacuations {versions.evacuations}"
+            held = f"configuration={versions.configuration} evacuations={versions.evacuations}"
             if has_contact:
-                log.info("in contact with most control nodes again; holds {}", configuration)
+                log.info("contact regained {}", held)
             else:
-                log.warning("no contact with most control nodes; goes on with {}", configuration)
+                log.warning("contact lost {}", held)
         self._has_contact = has_contact
 
     def _send_ping(self, ping: SendPing) -> None:
--- a/canvasbeam/control_plane/heartbeat_exchange.py
+++ b/canvasbeam/control_plane/heartbeat_exchange.py
@@ -2,7 +2,8 @@
 
 Owns when each other control node was last received, and so which of them are in contact. The registrar is the first
 control node, by its key, of those in contact with this one, itself among them: it alone applies the time-outs of
-workers. It must not do so while numbers may have been missed (`has_missed_heartbeats`).
+workers. It must not do so while numbers may have been missed (`has_missed_heartbeats`): heartbeats are announced to the
+registrar alone, so a control node that becomes the registrar, for whatever reason, knows nothing of those before.
 """
 
 from __future__ import annotations
@@ -59,6 +60,7 @@
         self._ticked_at_ns = clock()
         self._last_received_at_ns: dict[str, int] = {}  # by the IP address of the other control node
         self._in_contact: frozenset[str] = frozenset()
+        self._was_registrar = False  # at the last tick
         node.transport.register(Channel.REGISTRY, self._on_message)
 
     def is_own(self, member: Member) -> bool:
@@ -81,15 +83,23 @@
     def has_missed_heartbeats(self, now_ns: int) -> bool:
         """Return whether the numbers of heartbeats that others received may be unknown here; for each tick once."""
         elapsed_ns, self._ticked_at_ns = now_ns - self._ticked_at_ns, now_ns
+        has_stalled = elapsed_ns > MAX_TICK_NS
+        has_contact_changed = self._update_contact(now_ns)
+        was_registrar, self._was_registrar = self._was_registrar, self.is_registrar()
+        has_become_registrar = self._was_registrar and not was_registrar
+        if has_stalled or has_contact_changed or has_become_registrar:
+            return True
+        return not self._node.has_recent_contact(RECENT_CONTACT_NS)
+
+    def _update_contact(self, now_ns: int) -> bool:
+        """Find out which control nodes are in contact; return whether they are others than at the last tick."""
         former = self._in_contact
         self._in_contact = frozenset(
             ip
             for ip, received_at_ns in self._last_received_at_ns.items()
             if now_ns - received_at_ns <= CONTACT_TIMEOUT_NS
         )
-        if elapsed_ns > MAX_TICK_NS or former != self._in_contact:
-            return True
-        return not self._node.has_recent_contact(RECENT_CONTACT_NS)
+        return former != self._in_contact
 
     def is_registrar(self) -> bool:
         """Return whether this node is the registrar, as far as it knows."""
--- a/canvasbeam/control_plane/program.py
+++ b/canvasbeam/control_plane/program.py
@@ -83,7 +83,12 @@
     def _control_endpoints(self) -> list[Endpoint]:
         operator, registry = self._operator, self._registry
         return [
-            Endpoint(INSTANCES_PREFIX, registry.instances, registry.max_body_bytes),
+            Endpoint(
+                INSTANCES_PREFIX,
+                registry.instances,
+                registry.max_body_bytes,
+                too_large=ResultCode.REGISTRATION_TOO_LARGE,
+            ),
             Endpoint(CONFIGURATION_PATH, operator.configuration, operator.max_body_bytes, needs_caller=True),
             Endpoint(EVACUATION_PREFIX, operator.evacuation, _no_body, needs_caller=True),
             Endpoint(REMOVAL_PREFIX, operator.removal, _no_body, needs_caller=True),
--- a/canvasbeam/control_plane/view_log.py
+++ b/canvasbeam/control_plane/view_log.py
@@ -19,7 +19,13 @@
         if view is self._view:
             return
         if view is not None and view != self._view:
-            replicas, witnesses = ", ".join(view.replicas), ", ".join(view.witnesses)
+            replicas, witnesses = ",".join(view.replicas), ",".join(view.witnesses)
             primary = view.primary or "none"
-            log.info("view {}: primary {}, replicas {}, witnesses {}", view.epoch.number, primary, replicas, witnesses)
+            log.info(
+                "view known epoch={} primary={} replicas={} witnesses={}",
+                view.epoch.number,
+                primary,
+                replicas,
+                witnesses,
+            )
         self._view = view
--- a/canvasbeam/control_plane/web.py
+++ b/canvasbeam/control_plane/web.py
@@ -58,6 +58,7 @@
     handler: Handler
     max_body_bytes: Callable[[], int]
     needs_caller: bool = False  # a request whose caller has disconnected has no effect
+    too_large: ResultCode = ResultCode.CONFIG_TOO_LARGE  # of a request with a body above the limit
 
 
 def json_answer(status: int, document: JsonValue, headers: Sequence[tuple[bytes, bytes]] = ()) -> Answer:
@@ -120,7 +121,7 @@
                 return unavailable(Failure(ResultCode.OVERLOADED, "too many bodies are being read"))
         if body.is_too_large:
             reason = f"the body exceeds {body.max_bytes} bytes"
-            return failure_answer(413, Failure(ResultCode.CONFIG_TOO_LARGE, reason))
+            return failure_answer(413, Failure(endpoint.too_large, reason))
         has_effect = endpoint.needs_caller and scope["method"] != "GET"
         if has_effect and await CallerWatch(receive).has_disconnected():
             return None
--- a/canvasbeam/data_plane/attempt_runner.py
+++ b/canvasbeam/data_plane/attempt_runner.py
@@ -172,7 +172,7 @@
             self._count_served(request)
             self._requests.close(request)
         elif can_resume(request):
-            log.info("a stream broke and goes on at another worker", extra={"request_id": request.identity.decode()})
+            log.info("stream resumed at=another worker", extra={"request_id": request.identity.decode()})
             self._resume(request)
         else:
             request.answer.abort()
--- a/canvasbeam/data_plane/configuration_view.py
+++ b/canvasbeam/data_plane/configuration_view.py
@@ -60,11 +60,11 @@
             document = item.document or document_of(json.loads(item.payload))
             configuration = Configuration(document, self.current)
         except (ValueError, KeyError, TypeError):
-            log.exception("a configuration could not be read; the one before stays in force")
+            log.exception("configuration unreadable action=the one before stays in force")
             return
         self.current = configuration
         self._adopted.set()
-        log.info("configuration {} adopted", configuration.generation)
+        log.info("configuration adopted generation={}", configuration.generation)
         for listener in self._listeners:
             listener(configuration)
 
--- a/canvasbeam/data_plane/endpoint_list.py
+++ b/canvasbeam/data_plane/endpoint_list.py
@@ -84,7 +84,7 @@
     def _update(self, item: Item) -> WorkerEndpoint | None:
         record = decode_worker(item)
         if isinstance(record, Failure):
-            log.warning("{}", record)
+            log.warning("worker item dropped id={} failure={}", item.key, record)
             return None
         configuration = self._view.current
         service = configuration.services.get(record.service) if configuration is not None else None
--- a/canvasbeam/data_plane/program.py
+++ b/canvasbeam/data_plane/program.py
@@ -23,6 +23,7 @@
 from canvasbeam.data_plane.routes import Configuration
 from canvasbeam.data_plane.servers import NodeServers
 from canvasbeam.data_plane.shutdown import GracefulShutdown
+from canvasbeam.data_plane.startup import StartupCheck
 from canvasbeam.data_plane.worker_connections import WorkerConnections
 from canvasbeam.errors import Failure, ResultCode
 from canvasbeam.item_table.items import Item
@@ -56,6 +57,12 @@
             on_served=self._shutdown.record_served,
         )
         self._view = ConfigurationView(self._cluster.table)
+        self._startup = StartupCheck(
+            monotonic_ns,
+            has_configuration=lambda: self._view.current is not None,
+            has_contact=self._cluster.has_majority,
+            is_behind=lambda: self._cluster.is_behind,
+        )
         self._servers = self._make_servers(listeners or {}, metrics)
         self._view.add_listener(self._on_configuration)
         self._endpoints = self._make_endpoint_list()
@@ -123,7 +130,7 @@
 
     def is_ready(self) -> bool:
         """Return whether clients may be sent here."""
-        return self._view.current is not None and self._router.live_workers > 0 and not self._shutdown.has_begun
+        return self._startup.is_done() and self._router.live_workers > 0 and not self._shutdown.has_begun
 
     async def start(self) -> Failure | None:
         """Listen and join the cluster; return `ADDRESS_IN_USE`, or the failure of a server, where that fails."""
@@ -134,7 +141,7 @@
             await self._cluster.start()
         except OSError as error:
             return Failure(ResultCode.ADDRESS_IN_USE, f"{self._cluster.address}: {error}")
-        log.info("serving clients at {}", self._settings.listen["front"])
+        log.info("serving clients address={}", self._settings.listen["front"])
         self._readiness.start()
         return None
 
--- a/canvasbeam/data_plane/readiness.py
+++ b/canvasbeam/data_plane/readiness.py
@@ -13,8 +13,10 @@
 from canvasbeam.runtime.http_server import Receive, Scope, Send
 
 READY_PATH = "/v1/readyz"
-# At the latest after this time a change is published; one that makes the node ready is published at once.
+# At the latest after this time a change is published; items that make the node ready are looked at at once.
 READINESS_CHECK_INTERVAL_S = 0.2
+# The same until the node is ready for the first time: it waits for contact then, of which no item tells.
+STARTUP_CHECK_INTERVAL_S = 0.05
 
 
 class ReadinessApp:
@@ -41,6 +43,7 @@
         self._is_ready = is_ready
         self._publish = publish
         self._is_published_ready = False
+        self._has_been_ready = False
         self._changed = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
@@ -64,7 +67,9 @@
             is_ready = self._is_ready()
             if is_ready != self._is_published_ready:
                 self._is_published_ready = is_ready
+                self._has_been_ready = True
                 self._publish(is_ready)
+            interval_s = READINESS_CHECK_INTERVAL_S if self._has_been_ready else STARTUP_CHECK_INTERVAL_S
             with suppress(TimeoutError):
-                async with asyncio.timeout(READINESS_CHECK_INTERVAL_S):
+                async with asyncio.timeout(interval_s):
                     await self._changed.wait()
--- a/canvasbeam/data_plane/request_table.py
+++ b/canvasbeam/data_plane/request_table.py
@@ -93,7 +93,14 @@
         if entry is None:
             return
         request.local_code = code
-        log.info("{}: {}", code.name.lower(), reason, extra={"request_id": request.identity.decode("latin-1")})
+        identity = request.identity.decode("latin-1")
+        log.info(
+            "request answered locally code={} name={} reason={}",
+            int(code),
+            code.name.lower(),
+            reason,
+            extra={"request_id": identity},
+        )
         self._answer(entry, request, local_answer(Failure(code, reason), retry_after_ns))
 
     def _answer(self, entry: OpenRequest, request: ClientRequest, answer: Answer) -> None:
--- a/canvasbeam/data_plane/router.py
+++ b/canvasbeam/data_plane/router.py
@@ -198,7 +198,7 @@
     def _start_attempt(self, name: str, worker: str) -> None:
         dispatch = self._dispatches.get(name)
         if dispatch is None:
-            log.error("the dispatcher started an attempt of a request that is over")
+            log.error("attempt dropped worker={} reason=its request is over", worker)
             return
         self._attempts.start(dispatch, worker)
 
--- a/canvasbeam/dispatch/attempt_outcomes.py
+++ b/canvasbeam/dispatch/attempt_outcomes.py
@@ -74,7 +74,9 @@
             case Outcome.RESET if self._may_be_preempted(request):
                 self._queues.preempted(worker, self._current.now)
             case Outcome.RESET:
-                self._ejection.eject(worker, "job lost")  # a worker that kills its requests has no capacity for more
+                self._ejection.eject(
+                    worker, "request lost"
+                )  # a worker that kills its requests has no capacity for more
             case Outcome.BROKEN | Outcome.UNSENT:
                 self._ejection.record_broken_connection(worker)
             case Outcome.TIMED_OUT if worker.last_seen < attempt.sent_at:
--- a/canvasbeam/dispatch/outlier_ejection.py
+++ b/canvasbeam/dispatch/outlier_ejection.py
@@ -106,7 +106,7 @@
     def eject(self, worker: TrackedWorker, reason: str) -> None:
         """Eject a worker: it gets nothing for a while, longer each time."""
         if worker.ejected_until == 0:
-            self._current.actions.append(WriteLog(f"worker {worker.name} rested: {reason}"))
+            self._current.actions.append(WriteLog(f"worker ejected id={worker.name} reason={reason}"))
         timeouts = min(self._max_ejection_timeouts(), 2**worker.ejections)
         worker.ejections = min(worker.ejections + 1, MAX_EJECTION_CONNECT_TIMEOUTS)
         worker.ejected_until = self._current.now + timeouts * self._settings.limits.connect_timeout_ns
@@ -138,7 +138,7 @@
         if worker.ejected_until and event.outcome is Outcome.OK:
             self._begin_trial(worker)
         elif worker.ejected_until:
-            self.eject(worker, "probe failed")
+            self.eject(worker, "health check failed")
 
     def _begin_trial(self, worker: TrackedWorker) -> None:
         """Return a worker that gets one request at a time until a sign of work."""
@@ -152,4 +152,4 @@
         worker.last_seen = self._current.now
         self._cache.mark_changed(worker)
         self._timers.schedule(worker, self._current.now)
-        self._current.actions.append(WriteLog(f"worker {worker.name} back"))
+        self._current.actions.append(WriteLog(f"worker restored id={worker.name}"))
--- a/canvasbeam/dispatch/worker_sweep.py
+++ b/canvasbeam/dispatch/worker_sweep.py
@@ -56,7 +56,7 @@
 
         Answers that a partition lost never come; counted as load, they would keep the worker saturated afterwards.
         """
-        self._ejection.eject(worker, "silent")
+        self._ejection.eject(worker, "unresponsive")
         for attempt in tuple(worker.attempts):
             self._attempts.remove_load(attempt)
 
--- a/canvasbeam/errors.py
+++ b/canvasbeam/errors.py
@@ -64,6 +64,7 @@
     # 6xx: workers
     REGISTRATION_INVALID = 601, "a heartbeat of a worker misses a field or breaks a rule"
     REGISTRATION_STALE = 602, "a heartbeat is older than one already taken"
+    REGISTRATION_TOO_LARGE = 603, "a heartbeat is larger than the limit"
     # 7xx: requests of clients
     REQUEST_INVALID = 701, "the request cannot be understood"
     REQUEST_NO_ROUTE = 702, "no route fits the host and path"
--- a/canvasbeam/runtime/http_server.py
+++ b/canvasbeam/runtime/http_server.py
@@ -153,7 +153,7 @@
         try:
             await connection.run()
         except Exception:
-            log.exception("a connection ended by a fault")
+            log.exception("connection ended reason=a fault")
             writer.transport.abort()
         finally:
             self._connections.discard(connection)
--- a/canvasbeam/runtime/process.py
+++ b/canvasbeam/runtime/process.py
@@ -42,7 +42,7 @@
     signals = ProcessSignals.install(watch)
     failure = await program.start()
     if failure is not None:
-        log.error("{}", failure)
+        log.error("start failed failure={}", failure)
         return EXIT_START
     await signals.wait_for_termination()
     await program.stop()
--- a/canvasbeam/runtime/signals.py
+++ b/canvasbeam/runtime/signals.py
@@ -44,11 +44,11 @@
         """Read the file now; the listener gets settings that differ from the current ones."""
         loaded = load_settings(self._path)
         if isinstance(loaded, Failure):
-            log.error("the settings were not applied, the former ones stay: {}", loaded)
+            log.error("settings rejected action=the former ones stay failure={}", loaded)
             return loaded
         if loaded != self._current:
             self._current = loaded
-            log.info("the settings of {} are applied", self._path)
+            log.info("settings applied path={}", self._path)
             self._listener(loaded)
         return loaded
 
@@ -88,7 +88,7 @@
     def terminate(self, number: signal.Signals = signal.SIGTERM) -> None:
         """Ask the process to end, as the signal does."""
         if not self._terminated.is_set():
-            log.info("{} was received", number.name)
+            log.info("signal received name={}", number.name)
         self._terminated.set()
 
     def close(self) -> None:
--- a/tests/control_plane/test_registry.py
+++ b/tests/control_plane/test_registry.py
@@ -218,6 +218,74 @@
     assert network.nodes[0].state("i-2") is WorkerState.MISSING
 
 
+def record_missing(network: Network) -> list[str]:
+    """Return a list that takes the id of each worker that any node publishes as missing, from now on."""
+    missing: list[str] = []
+
+    def on_items(items: Sequence[Item]) -> None:
+        for item in items:
+            worker = None if item.kind is not ItemKind.WORKER or item.deleted else worker_of(item)
+            if isinstance(worker, Worker) and worker.state is WorkerState.MISSING:
+                missing.append(item.key)
+
+    for node in network.nodes:
+        node.table.add_listener(on_items)
+    return missing
+
+
+def heartbeats_before_the_registrar_ends(network: Network, receiver: FakeNode) -> None:
+    """Let a worker live for long enough that its first publication alone would not keep it from being missing."""
+    for sequence in range(1, 11):
+        receiver.heartbeat("i-1", sequence)
+        network.advance(1000)
+
+
+@pytest.mark.parametrize("receiver", [0, 1, 2])
+@pytest.mark.parametrize("successor_learns", [0, 1, 2])
+@pytest.mark.parametrize("other_learns", [0, 1, 2])
+@pytest.mark.parametrize("worker_turns_to", [1, 2])
+@pytest.mark.parametrize("ticks_in_order", [True, False])
+def test_planned_end_of_the_registrar_makes_no_live_worker_missing(
+    receiver: int, successor_learns: int, other_learns: int, worker_turns_to: int, ticks_in_order: bool
+) -> None:
+    """Regression: the successor applied the time-out to workers of whose heartbeats it had never been told.
+
+    The two nodes that stay learn of the end some half seconds later, each in its own, and the worker turns to one of
+    them with its next heartbeat.
+    """
+    network = make_network("z1", "z2", "z3")
+    heartbeats_before_the_registrar_ends(network, network.nodes[receiver])
+    missing = record_missing(network)
+    nodes = list(network.nodes)
+    network.nodes = nodes[1:] if ticks_in_order else nodes[:0:-1]
+    for step in range(40):
+        if step == successor_learns:
+            nodes[1].live = [nodes[1].member, nodes[2].member]
+        if step == other_learns:
+            nodes[2].live = [nodes[1].member, nodes[2].member]
+        if step % 2:
+            nodes[worker_turns_to].heartbeat("i-1", 11 + step)
+        network.advance(500)
+    assert missing == []
+
+
+@pytest.mark.parametrize("is_planned", [True, False])
+def test_worker_that_ends_with_the_registrar_is_missing_after_one_time_out_from_the_loss_of_contact(
+    is_planned: bool,
+) -> None:
+    network = make_network("z1", "z2", "z3")
+    heartbeats_before_the_registrar_ends(network, network.nodes[0])
+    missing = record_missing(network)
+    network.nodes.pop(0)
+    if is_planned:  # the others learn of it at once; else they miss its announcements first
+        for node in network.nodes:
+            node.live = [other.member for other in network.nodes]
+    network.advance(1500 + 3500)
+    assert missing == []
+    network.advance(1000)
+    assert set(missing) == {"i-1"}
+
+
 def test_partitioned_node_sends_workers_on_and_declares_nobody_missing() -> None:
     network = make_network("z1", "z2", "z3")
     network.nodes[1].heartbeat("i-1", 1)
--- a/tests/data_plane/test_later_sentences.py
+++ b/tests/data_plane/test_later_sentences.py
@@ -5,6 +5,7 @@
 import asyncio
 import json
 import random
+import time
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
 from dataclasses import replace
@@ -19,6 +20,7 @@
 from canvasbeam.data_plane.requests import ClientAnswer, ClientRequest
 from canvasbeam.data_plane.worker_request import worker_request
 from canvasbeam.item_table.items import Item, ItemKind, Version
+from canvasbeam.leases.contact import ControlVersions, RelayedGrant
 from canvasbeam.runtime.settings import Address, Bounds
 from canvasbeam.units import MILLISECOND, SECOND
 from tests.data_plane.test_data_plane_requests import run
@@ -555,6 +557,13 @@
     return Item(ItemKind.WORKER, worker.name, Version(1), record.SerializeToString())
 
 
+def bring_into_contact(data_plane: DataPlane) -> None:
+    """Grant the node the contact that a parent would tell it of."""
+    distribution = data_plane._cluster._core.distribution
+    held = ControlVersions.of(distribution.table)
+    assert distribution.relayed_lease.on_grant(RelayedGrant(time.monotonic_ns(), held), held)
+
+
 @asynccontextmanager
 async def whole_node(worker: ScriptedWorker) -> AsyncIterator[DataPlane]:
     """A whole data-plane process but for its signals, ready for clients; it ends with the test or before."""
@@ -562,6 +571,8 @@
     data_plane = DataPlane(real_settings())
     assert await data_plane.start() is None
     data_plane._cluster.publish([configuration_item(), worker_item(worker)])
+    assert not data_plane.is_ready()  # not before its first contact
+    bring_into_contact(data_plane)
     await until(lambda: data_plane._cluster.members()[0].ready)
     try:
         yield data_plane
--- /dev/null
+++ b/tests/data_plane/test_startup.py
@@ -0,0 +1,79 @@
+"""A node that has just started serves by no configuration that is older than what it should have been told of."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from canvasbeam.data_plane.startup import MAX_CONTACT_WAIT_NS, StartupCheck
+from canvasbeam.units import MILLISECOND, SECOND
+
+
+@dataclass
+class StartingNode:
+    """What the check asks of a node, and its clock."""
+
+    now: int = 5 * SECOND
+    has_configuration: bool = False
+    has_contact: bool = False
+    is_behind: bool = False
+    check: StartupCheck = field(init=False)
+
+    def __post_init__(self) -> None:
+        self.check = StartupCheck(
+            lambda: self.now,
+            has_configuration=lambda: self.has_configuration,
+            has_contact=lambda: self.has_contact,
+            is_behind=lambda: self.is_behind,
+        )
+
+
+def test_older_configuration_of_a_control_node_that_is_behind_is_not_served_by() -> None:
+    """Regression: generation 14 came from a control node that was itself behind, generation 30 23 ms after it."""
+    node = StartingNode(has_configuration=True)
+    assert not node.check.is_done()
+    node.now += 23 * MILLISECOND
+    node.is_behind = True  # generation 30 is announced
+    node.has_contact = True
+    assert not node.check.is_done()
+    node.is_behind = False  # it is held
+    assert node.check.is_done()
+
+
+def test_node_in_contact_with_nothing_newer_known_serves_at_once() -> None:
+    assert StartingNode(has_configuration=True, has_contact=True).check.is_done()
+
+
+def test_node_without_a_configuration_never_serves() -> None:
+    node = StartingNode(has_contact=True)
+    assert not node.check.is_done()
+    node.now += 2 * MAX_CONTACT_WAIT_NS
+    assert not node.check.is_done()
+
+
+def test_node_without_contact_serves_after_a_while_by_what_it_holds() -> None:
+    node = StartingNode(now=0, has_configuration=False)
+    node.now += 10 * MAX_CONTACT_WAIT_NS
+    assert not node.check.is_done()
+    node.has_configuration = True
+    assert not node.check.is_done()  # the wait counts from the first configuration
+    node.now += MAX_CONTACT_WAIT_NS - 1
+    assert not node.check.is_done()
+    node.now += 1
+    assert node.check.is_done()
+
+
+def test_node_without_contact_that_knows_of_something_newer_does_not_serve() -> None:
+    node = StartingNode(has_configuration=True, is_behind=True)
+    assert not node.check.is_done()
+    node.now += 2 * MAX_CONTACT_WAIT_NS
+    assert not node.check.is_done()
+    node.is_behind = False
+    assert node.check.is_done()
+
+
+def test_node_that_has_served_does_not_become_unready_by_a_lost_contact_or_a_newer_configuration() -> None:
+    node = StartingNode(has_configuration=True, has_contact=True)
+    assert node.check.is_done()
+    node.has_contact = False
+    node.is_behind = True
+    assert node.check.is_done()
--- a/tests/project/test_wheel.py
+++ b/tests/project/test_wheel.py
@@ -10,6 +10,7 @@
 import sys
 from pathlib import Path
 
+from canvasbeam.version import VERSION
 from tests.scheduler.test_upgrade import Fleet, healthy
 from tests.support.free_ports import free_port
 
@@ -27,6 +28,7 @@
     here = {each.parent.relative_to(ROOT) for each in (ROOT / "canvasbeam").rglob("*.py")}
     there = {each.parent.relative_to(site) for each in (site / "canvasbeam").rglob("*.py")}
     assert there == here
+    assert [path.name for path in site.glob("canvasbeam-*.dist-info")] == [f"canvasbeam-{VERSION}.dist-info"]
     fleet = Fleet(tmp_path)
     fields = json.loads(fleet.config.read_text())
     mgmt = ("127.0.0.1", free_port())
