--- a/bench/planned_ends.py
+++ b/bench/planned_ends.py
@@ -3,9 +3,9 @@
     .venv/bin/python bench/planned_ends.py --ends 100 --systems 4
 
 Each system has three control processes, two data-plane processes and two emulated workers, and clients that send
-streams, idempotent requests and ones that may run only once. Its data-plane processes end as planned in turn, each once the
-other one is ready. A line for each system says what became of the requests; the command ends with 0 only if each was
-answered with 200, at the first address or at the other one after an answer or a refusal that says that nothing ran.
+streams, idempotent requests and ones that may run only once. Its data-plane processes end as planned in turn, each once
+the other one is ready. A line for each system says what became of the requests; the command ends with 0 only if each
+was answered with 200, at the first address or at the other one after an answer or a refusal that says that nothing ran.
 """
 
 from __future__ import annotations
@@ -64,10 +64,8 @@
         finally:
             system.stop()
         took_s = time.monotonic() - began_at
-    line = (
-        f"{ends} ends beside {len(CONTROLS)} control processes, each within {max(ended_s):.1f} s, in {took_s:.0f} s; "
-    )
-    return not load.failed, line + load.figures()
+    line = f"{ends} ends, each within {max(ended_s):.1f} s, in {took_s:.0f} s; {load.figures()}"
+    return not load.failed, line
 
 
 def parse_arguments() -> argparse.Namespace:
