--- a/canvasbeam/admin/operations.py
+++ b/canvasbeam/admin/operations.py
@@ -24,9 +24,9 @@
     WorkersListedEvent,
 )
 from canvasbeam.admin.routes import JsonObject
-from canvasbeam.scheduler.core import Core
 from canvasbeam.scheduler.limits import nanoseconds, seconds, span_of
 from canvasbeam.scheduler.listener import Listener
+from canvasbeam.scheduler.request_coordinator import RequestCoordinator
 
 HANDOVER_POLL_INTERVAL = seconds(0.1)  # a request to another process takes effect here within this
 
@@ -39,12 +39,12 @@
 
     def __init__(
         self,
-        core: Core,
+        coordinator: RequestCoordinator,
         listener: Listener,
         handover: Handover | None = None,
         peers: Callable[[], JsonObject] | None = None,
     ) -> None:
-        self._core = core
+        self._coordinator = coordinator
         self._listener = listener
         self._handover = handover
         self._peers = peers
@@ -58,13 +58,13 @@
 
     def figures(self) -> JsonObject:
         """Return the counters and gauges as they are in this pass of the loop; `/stats` has these keys."""
-        core = self._core
+        coordinator = self._coordinator
         return {
-            "downstream_requests": {name: dict(counts) for name, counts in core.by_class.items()},
-            "upstream_requests": core.forwarded,
-            "pending": core.pending,
-            "members": len(core.targets),
-            "members_unavailable": core.avoided(),
+            "downstream_requests": {name: dict(counts) for name, counts in coordinator.by_class.items()},
+            "upstream_requests": coordinator.forwarded,
+            "pending": coordinator.pending,
+            "members": len(coordinator.workers),
+            "members_unavailable": coordinator.unavailable_workers(),
         }
 
     def peers(self) -> JsonObject | None:
@@ -90,24 +90,24 @@
         workers = handover.read_if_changed()
         if workers is not None:
             self._carry_out([self._workers_listed(), SetReplacedEvent(workers)])
-        self._core.loop.after(HANDOVER_POLL_INTERVAL, lambda: self._poll_handover(handover))
+        self._coordinator.loop.after(HANDOVER_POLL_INTERVAL, lambda: self._poll_handover(handover))
 
     def _workers_listed(self) -> WorkersListedEvent:
         """Return the current endpoint list, with the starts that it names on the loop's clock."""
-        workers = self._core.targets.values()
+        workers = self._coordinator.workers.values()
         starts_ns = {worker.name: nanoseconds(worker.started) for worker in workers if worker.started is not None}
-        return WorkersListedEvent(frozenset(self._core.targets), starts_ns)
+        return WorkersListedEvent(frozenset(self._coordinator.workers), starts_ns)
 
     def _carry_out(self, events: list[Event]) -> list[Action]:
         """Hand the events to the register, carry out its actions and return them."""
-        loop = self._core.loop
+        loop = self._coordinator.loop
         actions = self._register.handle(nanoseconds(loop.now), events)
         for action in actions:
             match action:
                 case Drain(worker):
-                    self._core.enter_maintenance(worker)
+                    self._coordinator.enter_maintenance(worker)
                 case Reinstate(worker, started_ns):
-                    self._core.leave_maintenance(worker, span_of(started_ns))
+                    self._coordinator.leave_maintenance(worker, span_of(started_ns))
                 case Persist(workers) if self._handover is not None:
                     self._handover.write(workers)
         return actions
--- a/canvasbeam/cli/emulate.py
+++ b/canvasbeam/cli/emulate.py
@@ -13,7 +13,7 @@
 
 def parse_loopback_address(text: str) -> tuple[str, int]:
     """Return the address that HOST:PORT names; click's BadParameter where it is none, or not on loopback."""
-    from canvasbeam.scheduler.target_group import read_address  # noqa: PLC0415
+    from canvasbeam.scheduler.worker_discovery import read_address  # noqa: PLC0415
 
     try:
         host, port = read_address(text)
--- a/canvasbeam/scheduler/client_connection.py
+++ b/canvasbeam/scheduler/client_connection.py
@@ -1,8 +1,8 @@
 """One client's connection: the requests read from it, in order, and the responses written back.
 
-It owns the connection's state and its one time-out. It must never answer a request that the core took in any way but
-the core's, never end a connection on which a request waits for its answer, and never let a client that sends nothing or
-stops in the middle of a request keep its connection for long.
+It owns the connection's state and its one time-out. It must never answer a request that the coordinator took in any way
+but the coordinator's, never end a connection on which a request waits for its answer, and never let a client that sends
+nothing or stops in the middle of a request keep its connection for long.
 """
 
 from __future__ import annotations
@@ -14,13 +14,20 @@
 from typing import Protocol
 
 from canvasbeam.runtime.planned_shutdown import Phase
-from canvasbeam.scheduler.core import Core
 from canvasbeam.scheduler.http_responses import framing, head_only, retry_after_header, text_response
 from canvasbeam.scheduler.limits import ZERO, Limits
 from canvasbeam.scheduler.loop import Deadline, Loop, Stream
+from canvasbeam.scheduler.request_coordinator import RequestCoordinator
 from canvasbeam.scheduler.request_headers import read_request
 from canvasbeam.scheduler.request_reader import ReceivedRequest, RequestReader, RequestRejectedError
-from canvasbeam.scheduler.requests import Answer, DuplicateRequest, FinalAnswer, Request, ShuttingDown, TooManyRequests
+from canvasbeam.scheduler.requests import (
+    Answer,
+    DuplicateRequestError,
+    FinalAnswer,
+    Request,
+    ShuttingDownError,
+    TooManyRequestsError,
+)
 
 SUBMIT, READY, LIVE = b"/api", b"/health/ready", b"/health/live"
 STATUS = {
@@ -45,7 +52,7 @@
     """The listener, as its connections see it."""
 
     loop: Loop
-    core: Core
+    coordinator: RequestCoordinator
     limits: Limits
     bodies: int  # bytes of all clients' bodies that are in memory
     connections: dict[int, ClientConnection]
@@ -65,7 +72,7 @@
 class ClientConnection(Stream):
     """One client: the requests read from it, in order, and the responses written back.
 
-    It owns the reader of the client's bytes and the one request that the core is answering.
+    It owns the reader of the client's bytes and the one request that the coordinator is answering.
     """
 
     rank = 2
@@ -202,7 +209,7 @@
         return True
 
     def _take(self, received: ReceivedRequest) -> None:
-        """Route a complete request, and answer it here where it is rejected before the core takes it."""
+        """Route a complete request, and answer it here where it is rejected before the coordinator takes it."""
         self.loop.cancel(self._timeout)
         self._keep_alive = received.keep_alive
         try:
@@ -211,19 +218,19 @@
             self._request = None
             extra = "Allow: POST\r\n" if error.status is HTTPStatus.METHOD_NOT_ALLOWED else ""
             self._respond(text_response(error.status, str(error), self._ends, extra))
-        except DuplicateRequest:
+        except DuplicateRequestError:
             self._request = None
             reason = "a request with this X-Call-Id is open"
             self._respond(text_response(HTTPStatus.CONFLICT, reason, self._ends))
-        except ShuttingDown:
+        except ShuttingDownError:
             # The connection closes, so that a retry goes to another scheduler.
             self._keep_alive = self._reader.has_more
             self._reject("this scheduler ends", self._limits.shutdown_retry_after)
-        except TooManyRequests:
+        except TooManyRequestsError:
             self._reject("too many open requests", self._limits.retry_after)
 
     def _route(self, received: ReceivedRequest) -> None:
-        """Answer a health request, or submit a request to the core; raise RequestRejectedError for any other."""
+        """Answer a health request, or submit a request to the coordinator; raise RequestRejectedError for any other."""
         path, _, query = received.url.partition(b"?")
         if path in (READY, LIVE):
             self._has_asked = True
@@ -233,13 +240,13 @@
             raise RequestRejectedError(HTTPStatus.NOT_FOUND, "no such path")
         if received.method != b"POST":
             raise RequestRejectedError(HTTPStatus.METHOD_NOT_ALLOWED, "jobs come by POST")
-        core = self._owner.core
-        self._request = read_request(received, query, self._limits, core.knows_class, self._answered)
+        coordinator = self._owner.coordinator
+        self._request = read_request(received, query, self._limits, coordinator.knows_class, self._answered)
         self._has_asked = True
-        core.submit(self._request)
+        coordinator.submit(self._request)
 
     def _reject(self, reason: str, retry_after: timedelta) -> None:
-        """Answer that the core did not take the request: nothing ran, and a retry is harmless."""
+        """Answer that the coordinator did not take the request: nothing ran, and a retry is harmless."""
         self._request = None
         extra = retry_after_header(retry_after)
         self._respond(text_response(HTTPStatus.SERVICE_UNAVAILABLE, reason, self._ends, extra))
@@ -260,11 +267,11 @@
     @property
     def _ends(self) -> bool:
         """Whether the connection closes after the next response."""
-        closing = self._owner.core.phase >= Phase.CLOSING
+        closing = self._owner.coordinator.phase >= Phase.CLOSING
         return not self._keep_alive or (closing and not self._reader.has_more)
 
     def _answered(self, answer: FinalAnswer) -> None:
-        """Write the core's final answer, and take the next request."""
+        """Write the coordinator's final answer, and take the next request."""
         self._request = None
         if self.closed:
             return
@@ -351,7 +358,7 @@
         self.read(True)
 
     def close(self) -> None:
-        """Close the connection, and cancel its open request in the core."""
+        """Close the connection, and cancel its open request in the coordinator."""
         if self.closed:
             return
         super().close()
@@ -360,4 +367,4 @@
         self._owner.remove(self)
         request, self._request = self._request, None
         if request is not None:
-            self._owner.core.hang_up(request)
+            self._owner.coordinator.client_disconnected(request)
--- a/canvasbeam/scheduler/configuration.py
+++ b/canvasbeam/scheduler/configuration.py
@@ -10,13 +10,14 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 from datetime import timedelta
+from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
 from canvasbeam.dispatch.json_fields import WireError, required, section, whole_number
 from canvasbeam.dispatch.settings import Settings
 from canvasbeam.dispatch.settings_json import read_settings
 from canvasbeam.scheduler.limits import Limits
-from canvasbeam.scheduler.target_group import read_address, read_list
+from canvasbeam.scheduler.worker_discovery import read_address, read_list
 
 if TYPE_CHECKING:
     from canvasbeam.gossip.settings import PeerSettings
@@ -50,17 +51,16 @@
 
 
 def read_configuration(environment: Mapping[str, str]) -> Configuration:
-    """LB_CONFIG's file, with the variables of the environment before it; a ValueError says what is wrong."""
+    """Return LB_CONFIG's file, with the environment's variables before it; raise `ValueError` if it is wrong."""
     path = environment.get("LB_CONFIG")
     if not path:
         raise ValueError("LB_CONFIG is not set")
     try:
-        with open(path, encoding="utf-8") as file:
-            fields = json.load(file)
+        fields = json.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
         raise ValueError(f"LB_CONFIG cannot be read: {error}") from error
     if not isinstance(fields, dict):
-        raise ValueError("LB_CONFIG holds no object")
+        raise ValueError("LB_CONFIG holds no object")  # noqa: TRY004  # a start fails by one type of error
     known = section(fields, "known")
     if known:
         read_list(known, timedelta(0))
@@ -80,9 +80,9 @@
 
 
 def read_peers(configuration: Configuration, settings: Settings) -> PeerSettings | None:
-    """The operator's file on peers, or None: without one, or where the settings forbid them.
+    """Return the operator's file on peers, or None: without one, or where the settings forbid them.
 
-    A ValueError says what is wrong. Imported only where it is used: a scheduler without peers pays nothing for them.
+    Raises `ValueError`, which says what is wrong. Imported only where it is used: a scheduler without peers pays nothing.
     """
     if not configuration.peers or not settings.limits.peers:
         return None
@@ -94,7 +94,7 @@
 
 
 def read_new_discovery(environment: Mapping[str, str]) -> tuple[str, int]:
-    """Where the file now says that discovery is; the whole file must be as good as at a start.
+    """Return where the file now says that discovery is; the whole file must be as good as at a start.
 
     LB_DISCOVERY is as old as the process: it must not hide the file's new address.
     """
--- a/canvasbeam/scheduler/decisions.py
+++ b/canvasbeam/scheduler/dispatcher_driver.py
@@ -1,8 +1,8 @@
-"""The seam to the decision module: events are gathered during a pass and given to it once, in a fixed order.
+"""Drive the dispatcher: events are gathered during a pass and given to it once, in a fixed order.
 
-It owns the module's instance and the conversion between the loop's clock and the module's. The module's clock is Unix
-time as it was at the loop's start plus what the monotonic clock has counted since, so a target's start maps to the same
-number in every list and is never taken for a new one.
+It owns the dispatcher's instance and the conversion between the loop's clock and the dispatcher's. The dispatcher's
+clock is Unix time as it was at the loop's start plus what the monotonic clock has counted since, so a worker's start
+maps to the same number in every list and is never taken for a new one.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from canvasbeam.scheduler.limits import nanoseconds, span_of
 
 
-class Decisions:
-    """The decision module and the events it has not been given yet."""
+class DispatcherDriver:
+    """The dispatcher and the events it has not been given yet."""
 
     def __init__(self, settings: Settings, seed: int, born: timedelta) -> None:
         """`born` is the Unix time at which the loop's clock stood at zero."""
@@ -35,22 +35,22 @@
         return bool(self._lists or self._outcomes or self._arrivals)
 
     def add_list(self, event: Event) -> None:
-        """Discovery has told something, or could not be reached."""
+        """Gather what discovery told, or that it could not be reached."""
         self._lists.append(event)
 
     def add_outcome(self, event: Event) -> None:
-        """Something became of a forward or a probe, a client left, or a timer is due."""
+        """Gather what became of an attempt or a health check, that a client left, or that a timer is due."""
         self._outcomes.append(event)
 
     def add_arrival(self, event: Event) -> None:
-        """A request has come."""
+        """Gather a request that has arrived."""
         self._arrivals.append(event)
 
     def decide(self, now: timedelta) -> list[Action]:
-        """Give the module what was gathered: discovery, then outcomes, then new requests; what it wants done."""
+        """Give the dispatcher what was gathered, lists first, then outcomes, then arrivals; return its actions."""
         events = self._lists + self._outcomes + self._arrivals
         self._clear()
-        return self.dispatcher.handle(self.to_module(now), events)
+        return self.dispatcher.handle(self.to_dispatcher_time(now), events)
 
     def _clear(self) -> None:
         self._lists, self._outcomes, self._arrivals = [], [], []
@@ -66,13 +66,13 @@
         self._outcomes = []
 
     def ejected_workers(self) -> list[str]:
-        """The targets that the module has found failing and sends nothing to."""
+        """Return the workers that the dispatcher has ejected."""
         return self.dispatcher.ejected_workers()
 
-    def to_module(self, instant: timedelta) -> int:
-        """The module's time for a time of the loop."""
+    def to_dispatcher_time(self, instant: timedelta) -> int:
+        """Return the dispatcher's time for a time of the loop."""
         return nanoseconds(self._born + instant)
 
-    def from_module(self, when: int) -> timedelta:
-        """The loop's time for a time of the module."""
+    def from_dispatcher_time(self, when: int) -> timedelta:
+        """Return the loop's time for a time of the dispatcher."""
         return span_of(when) - self._born
--- a/canvasbeam/scheduler/limits.py
+++ b/canvasbeam/scheduler/limits.py
@@ -1,6 +1,6 @@
 """Every size, count and time the program keeps to, in one type that is filled at start and handed down.
 
-It owns these figures and the one seam between the program's `timedelta` and the module's whole
+It owns these figures and the one seam between the program's `timedelta` and the dispatcher's whole
 nanoseconds. It must never read a clock, and no other file may convert between the two or bring a figure of
 its own.
 """
@@ -14,7 +14,7 @@
 
 MICROSECOND = timedelta(microseconds=1)
 ZERO = timedelta(0)
-TARGET_IDLE = timedelta(seconds=15)  # where the settings name no time
+WORKER_IDLE = timedelta(seconds=15)  # where the settings name no time
 # The platform kills a process no sooner after SIGTERM than the longest deadline, counted as the first where it is
 # longer, and the second.
 KILL_LONGEST = timedelta(seconds=3)
@@ -22,17 +22,17 @@
 
 
 def nanoseconds(span: timedelta) -> int:
-    """A span in the module's unit."""
+    """Return a span in the dispatcher's unit, whole nanoseconds."""
     return span // MICROSECOND * 1000
 
 
 def span_of(ns: int) -> timedelta:
-    """A span given in the module's unit, rounded up so that nothing is ever due early."""
+    """Return a span given in nanoseconds, rounded up to microseconds so that nothing is ever due early."""
     return timedelta(microseconds=-(-ns // 1000))
 
 
 def seconds(number: float) -> timedelta:
-    """A span given in seconds."""
+    """Return a span given in seconds."""
     return timedelta(seconds=number)
 
 
@@ -55,30 +55,30 @@
     # Counts.
     open_requests: int = 10_000
     client_connections: int = 560
-    target_connections: int = 400
-    kept_idle: int = 8  # idle connections to one target
+    worker_connections: int = 400
+    kept_idle: int = 8  # idle connections to one worker
     requests_per_pass: int = 16  # taken up from one client
     backlog: int = 512
     accepts_per_pass: int = 32
-    slots: float = 1024.0  # the most that a job may say it takes, and the most memory
+    slots: float = 1024.0  # the most that a request may say it takes, and the most memory
     # The longest `Retry-After` that a client may be given.
     retry_after: timedelta = ZERO
-    # The module is told that a request is due earlier by the first; it answers as late as a quantum before
-    # that. The core answers in its stead by the second before the request is due.
+    # The dispatcher is told that a request is due earlier by the first; it answers as late as a quantum before
+    # that. The coordinator answers in its stead by the second before the request is due.
     answer_margin: timedelta = seconds(0.005)
     answer_guard: timedelta = seconds(0.002)
     connect: timedelta = seconds(0.25)
-    probe: timedelta = seconds(1)
-    # How long the last byte of a forward that must not be repeated waits: this, or twice the time that
+    check_health: timedelta = seconds(1)
+    # How long the last byte of an attempt that must not be repeated waits: this, or twice the time that
     # the connection took to come up, but no longer than the second.
     proof: timedelta = seconds(0.005)
     longest_proof: timedelta = seconds(0.05)
     # Nothing that must not run twice is sent on a connection that had an answer less than this ago: a second one, some
-    # milliseconds late, would be read as the next job's, and a rejection names no job.
+    # milliseconds late, would be read as the next request's, and a rejection names no request.
     settle: timedelta = seconds(0.05)
     distrust: timedelta = seconds(60)  # of kept connections, after one broke under a request
-    target_idle: timedelta = TARGET_IDLE
-    target_tail: timedelta = seconds(1)  # from the last line of an answer to the end of its framing
+    worker_idle: timedelta = WORKER_IDLE
+    worker_tail: timedelta = seconds(1)  # from the last line of an answer to the end of its framing
     budget: timedelta = seconds(3600)  # the longest that a client may say it waits
     hint: timedelta = seconds(3600)  # the longest work that a client may guess at
     client_idle: timedelta = seconds(75)  # between requests
@@ -119,7 +119,7 @@
     mgmt_linger: timedelta = seconds(1)  # from the answer to the close
 
     def __post_init__(self) -> None:
-        """No wait for an answer may be longer than the time from one call to discovery to the next."""
+        """Raise `ValueError` where a wait for an answer is longer than from one call to discovery to the next."""
         if max(self.list_wait, self.watch_hold + self.watch_slack) + self.watch_retry > self.list_gap:
             raise ValueError("the waits for discovery's answers leave a change untold for too long")
 
@@ -139,9 +139,9 @@
 
     @classmethod
     def of(cls, settings: Settings, sockets: int, memory_mb: int) -> Limits:
-        """The figures under a deployment's settings and its limits on descriptors and memory.
+        """Return the figures under a deployment's settings and its limits on descriptors and memory.
 
-        A ValueError where these leave the scheduler too little.
+        Raises `ValueError` where these leave the scheduler too little.
         """
         if sockets < 64:
             raise ValueError("limits.sockets must be at least 64")
@@ -158,10 +158,10 @@
             bodies=(memory_mb - 16) * 1024 * 1024 // 4,
             open_requests=allowed.max_open,
             client_connections=rest * 3 // 5,
-            target_connections=rest * 2 // 5,
+            worker_connections=rest * 2 // 5,
             retry_after=span_of(allowed.max_retry_advice_ns) if allowed.retry_advice else ZERO,
             connect=span_of(allowed.connect_timeout_ns),
-            target_idle=span_of(idle) / 2 if idle else TARGET_IDLE,
+            worker_idle=span_of(idle) / 2 if idle else WORKER_IDLE,
             # A process of part of a core may come to its deadlines late, and answers must still be written.
             drain_window=min(seconds(0.6), kill / 4),
             last_answer=kill - seconds(0.3),
--- a/canvasbeam/scheduler/listener.py
+++ b/canvasbeam/scheduler/listener.py
@@ -11,10 +11,10 @@
 
 from canvasbeam.runtime.planned_shutdown import Phase
 from canvasbeam.scheduler.client_connection import ClientConnection, ClientState
-from canvasbeam.scheduler.core import Core
 from canvasbeam.scheduler.limits import Limits
 from canvasbeam.scheduler.loop import READ, Deadline, Endpoint, Loop
-from canvasbeam.scheduler.target_group import SCARCE
+from canvasbeam.scheduler.request_coordinator import RequestCoordinator
+from canvasbeam.scheduler.worker_discovery import SCARCE
 
 log = logging.getLogger(__name__)
 # Linux and the BSDs have it; where it is missing the kernel rejects the option, which is logged.
@@ -29,9 +29,9 @@
 
     rank = 2
 
-    def __init__(self, loop: Loop, core: Core, limits: Limits, sock: socket.socket) -> None:
+    def __init__(self, loop: Loop, coordinator: RequestCoordinator, limits: Limits, sock: socket.socket) -> None:
         super().__init__(loop, sock)
-        self.core = core
+        self.coordinator = coordinator
         self.limits = limits
         self.connections: dict[int, ClientConnection] = {}
         self.must_leave = False  # the planned shutdown is over, whoever is still connected
@@ -40,7 +40,7 @@
         self.wants(READ)
 
     @classmethod
-    def bind(cls, loop: Loop, core: Core, limits: Limits, address: tuple[str, int]) -> Listener:
+    def bind(cls, loop: Loop, coordinator: RequestCoordinator, limits: Limits, address: tuple[str, int]) -> Listener:
         """Return a listener on this address, beside another process that listens there too (SO_REUSEPORT).
 
         Guards an upgrade: the next version starts while this one still serves, and the kernel spreads new
@@ -58,17 +58,17 @@
         except OSError:
             sock.close()
             raise
-        return cls(loop, core, limits, sock)
+        return cls(loop, coordinator, limits, sock)
 
     @property
     def draining(self) -> bool:
         """Whether a planned shutdown has begun."""
-        return self.core.phase > Phase.SERVING
+        return self.coordinator.phase > Phase.SERVING
 
     @property
     def is_ready(self) -> bool:
         """Whether clients should send requests here."""
-        return not self.draining and self.core.can_serve()
+        return not self.draining and self.coordinator.can_serve()
 
     def on_event(self, mask: int) -> None:
         """Accept clients, at most so many in one pass."""
@@ -157,7 +157,7 @@
 
     def drain(self) -> bool:
         """Begin the planned shutdown; return False where it had begun."""
-        changes = self.core.begin_shutdown()
+        changes = self.coordinator.begin_shutdown()
         if not changes:
             return False
         window_ends, last_call, _, leave = changes
--- a/canvasbeam/scheduler/loop.py
+++ b/canvasbeam/scheduler/loop.py
@@ -351,7 +351,7 @@
         ready = self.selector.select(self._select_timeout_s())
         self._again = False
         self.passes += 1
-        begun = self.read_clock()
+        begun_at = self.read_clock()
         events = []
         for key, mask in ready:
             endpoint = self.endpoints.get(key.data)
@@ -364,7 +364,7 @@
                 self._guarded(lambda each=endpoint, seen=mask: each.on_event(seen), endpoint)  # type: ignore[misc]
         self._run_due()
         self.end_of_pass()
-        took = self.read_clock() - begun
+        took = self.read_clock() - begun_at
         self.longest_pass = max(self.longest_pass, took)
         if took > self.slow_pass:
             # Everything waits for a pass: a long one makes answers late, so it must not go unseen.
--- a/canvasbeam/scheduler/process_signals.py
+++ b/canvasbeam/scheduler/process_signals.py
@@ -15,7 +15,7 @@
 from canvasbeam.scheduler.configuration import CONFIGURATION_ERRORS, read_new_discovery
 from canvasbeam.scheduler.listener import Listener
 from canvasbeam.scheduler.loop import READ, Endpoint, Loop
-from canvasbeam.scheduler.target_group import TargetGroup
+from canvasbeam.scheduler.worker_discovery import WorkerDiscovery
 
 if TYPE_CHECKING:
     from canvasbeam.gossip.datagram_node import PeerNode
@@ -34,7 +34,7 @@
         loop: Loop,
         sock: socket.socket,
         listener: Listener,
-        group: TargetGroup,
+        group: WorkerDiscovery,
         peer_node: PeerNode | None = None,
     ) -> None:
         super().__init__(loop, sock)
@@ -70,7 +70,9 @@
             address = read_new_discovery(os.environ)
         except CONFIGURATION_ERRORS as error:
             # The text says what is wrong in the file; a traceback would say nothing of it.
-            log.error("LB_CONFIG is not taken up, all stays as it was: %s", " ".join(str(error).split()))
+            log.error(  # noqa: TRY400
+                "LB_CONFIG is not taken up, all stays as it was: %s", " ".join(str(error).split())
+            )
             return
         if address == self._group.address:
             log.info("LB_CONFIG read again: discovery stays at %s:%d", *address)
--- a/canvasbeam/scheduler/program.py
+++ b/canvasbeam/scheduler/program.py
@@ -12,14 +12,14 @@
 from typing import TYPE_CHECKING
 
 from canvasbeam.dispatch.settings import Settings
+from canvasbeam.scheduler.attempt_sender import AttemptSender
 from canvasbeam.scheduler.configuration import Configuration
-from canvasbeam.scheduler.core import Core
-from canvasbeam.scheduler.forward import Forwarder
 from canvasbeam.scheduler.limits import MICROSECOND, Limits
 from canvasbeam.scheduler.listener import Listener
 from canvasbeam.scheduler.loop import Loop
 from canvasbeam.scheduler.process_signals import Signals
-from canvasbeam.scheduler.target_group import TargetGroup
+from canvasbeam.scheduler.request_coordinator import RequestCoordinator
+from canvasbeam.scheduler.worker_discovery import WorkerDiscovery
 
 if TYPE_CHECKING:
     from canvasbeam.gossip.datagram_node import PeerNode
@@ -28,24 +28,24 @@
 log = logging.getLogger(__name__)
 
 
-def figures(core: Core, forwarder: Forwarder, listener: Listener) -> str:
-    """What has been done since the start, and what is open now, for a line of the log."""
-    told = {
+def figures(coordinator: RequestCoordinator, forwarder: AttemptSender, listener: Listener) -> str:
+    """Return what was done since the start, and what is open now, for a line of the log."""
+    values = {
         "clients": len(listener.connections),
-        "open": core.open_requests,
-        "targets": len(core.targets),
+        "open": coordinator.open_requests,
+        "targets": len(coordinator.workers),
         "connections": forwarder.connections,
         "idle": forwarder.idle,
         "opened": forwarder.opened,
-        "list_age": round((core.loop.now - core.listed_at).total_seconds(), 2),
-        "lists_lost": core.lists_lost,
+        "list_age": round((coordinator.loop.now - coordinator.listed_at).total_seconds(), 2),
+        "lists_lost": coordinator.lists_lost,
         "cpu": round(time.process_time(), 2),
-        "passes": core.loop.passes,
+        "passes": coordinator.loop.passes,
     }
-    told |= {each.value: count for each, count in core.answers.items() if count}
-    told |= {f"forward {each.value}": count for each, count in core.ended.items() if count}
-    told |= {f"probe {each.value}": count for each, count in core.probed.items() if count}
-    return json.dumps(told)
+    values |= {answer.value: count for answer, count in coordinator.answers.items() if count}
+    values |= {f"forward {outcome.value}": count for outcome, count in coordinator.ended.items() if count}
+    values |= {f"probe {outcome.value}": count for outcome, count in coordinator.health_checks_ended.items() if count}
+    return json.dumps(values)
 
 
 class Scheduler:
@@ -66,11 +66,11 @@
         self._limits = limits
         loop = self._loop = Loop(limits.slow_pass)
         born = time.time_ns() // 1000 * MICROSECOND - loop.read_clock()
-        core = self._core = Core(loop, settings, limits, configuration.seed, born)
-        self._forwarder = core.carrier = Forwarder(loop, core, limits, report_names)
-        self._listener = Listener.bind(loop, core, limits, configuration.listen)
+        coordinator = self._coordinator = RequestCoordinator(loop, settings, limits, configuration.seed, born)
+        self._forwarder = coordinator.transport = AttemptSender(loop, coordinator, limits, report_names)
+        self._listener = Listener.bind(loop, coordinator, limits, configuration.listen)
         whose = f"{configuration.seed:x} {configuration.name}"
-        group = TargetGroup(loop, core, limits, configuration.discovery, born, whose=whose)
+        group = WorkerDiscovery(loop, coordinator, limits, configuration.discovery, born, whose=whose)
         group.start(configuration.known)
         self._peer_node = self._join_peers(peers)
         Signals(loop, signals, self._listener, group, self._peer_node)
@@ -97,24 +97,24 @@
 
         handover = Handover(handover_path(Path(os.environ.get("TMPDIR") or "/tmp"), self._configuration.listen))
         report = self._peer_node.report if self._peer_node else None
-        operations = SchedulerOperations(self._core, self._listener, handover, report)
+        operations = SchedulerOperations(self._coordinator, self._listener, handover, report)
         ManagementListener.bind(self._loop, self._limits, operations, address)
         log.info("the management address is %s:%d", *address)
 
     def _end_of_pass(self) -> None:
-        self._core.end_of_pass()
+        self._coordinator.end_of_pass()
         listener = self._listener
-        if listener.must_leave or (listener.is_drained and not self._core.open_requests):
+        if listener.must_leave or (listener.is_drained and not self._coordinator.open_requests):
             self._loop.stop()
 
     def _log_figures(self) -> None:
-        log.info("figures %s", figures(self._core, self._forwarder, self._listener))
+        log.info("figures %s", figures(self._coordinator, self._forwarder, self._listener))
         self._loop.after(self._limits.figures_every, self._log_figures)
 
     def _log_start(self) -> None:
         configuration, settings = self._configuration, self._settings
         number, count = settings.own_number, settings.dispatchers
-        log.info("number %d of %d schedulers, %d targets known", number, count, len(self._core.targets))
+        log.info("number %d of %d schedulers, %d targets known", number, count, len(self._coordinator.workers))
         log.info("%s listens on %s:%d", configuration.name, *configuration.listen)
         origin = "LB_DISCOVERY" if os.environ.get("LB_DISCOVERY") else "LB_CONFIG"
         log.info("discovery is at %s:%d, by %s", *configuration.discovery, origin)
@@ -129,6 +129,6 @@
         gc.freeze()
         self._log_start()
         loop.run()
-        told = ", ".join(f"{count} {kind.value}" for kind, count in self._core.answers.items())
+        told = ", ".join(f"{count} {kind.value}" for kind, count in self._coordinator.answers.items())
         log.info("drained: %s; longest pass %.1f ms", told, loop.longest_pass.total_seconds() * 1000)
         loop.close()
--- a/canvasbeam/scheduler/request_headers.py
+++ b/canvasbeam/scheduler/request_headers.py
@@ -1,7 +1,7 @@
-"""From the headers of a client's request to the `Request` that the core takes, or to its rejection.
+"""From the headers of a client's request to the `Request` that the coordinator takes, or to its rejection.
 
-It owns the meaning of the `X-Call-` headers, whose names ("call", and "job" in the core's types) are those of the wire.
-It must never accept a value that a worker could read in another way.
+It owns the meaning of the `X-Call-` headers, whose names ("call", and "job" in the coordinator's types) are those of
+the wire. It must never accept a value that a worker could read in another way.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
     knows_class: Callable[[str], bool],
     answer: Callable[[FinalAnswer], None],
 ) -> Request:
-    """Return the request as the core takes it; raise RequestRejectedError where its headers cannot be used."""
+    """Return the request as the coordinator takes it; raise RequestRejectedError where its headers cannot be used."""
     names = [name.lower() for name, _ in received.headers]
     for name in SINGLE:
         if names.count(name) > 1:
             raise RequestRejectedError(HTTPStatus.BAD_REQUEST, f"{name.decode()} is given twice")
-    request_id, job_class = received.text(b"x-call-id"), received.text(b"x-call-class")
-    if not knows_class(job_class):
+    request_id, request_class = received.text(b"x-call-id"), received.text(b"x-call-class")
+    if not knows_class(request_class):
         raise RequestRejectedError(HTTPStatus.BAD_REQUEST, "X-Call-Class is missing or unknown")
     for name in (b"x-call-id", b"idempotency-key"):
         check_identifier(received, name, limits)
@@ -51,7 +51,7 @@
     keys = parse_qs(query.decode("latin-1")).get("sid")
     return Request(
         identity=request_id,
-        job_class=job_class,
+        request_class=request_class,
         due=received.arrived + timedelta(seconds=budget),
         payload=ForwardedRequest(
             request_id, received.method, received.url, received.end_to_end_headers(), bytes(received.body)
@@ -62,7 +62,7 @@
         slots=slots,
         memory=memory,
         repeat=received.text(b"x-again") == "1",
-        work_hint=read_work_hint(received.text(b"x-call-cost"), limits.hint),
+        service_hint=read_service_hint(received.text(b"x-call-cost"), limits.hint),
     )
 
 
@@ -81,7 +81,7 @@
     return decimal(figures.get("slots") or "1"), decimal(figures.get("memory") or "0")
 
 
-def read_work_hint(text: str, limit: timedelta) -> timedelta:
+def read_service_hint(text: str, limit: timedelta) -> timedelta:
     """Return the client's estimate of the work, given in microseconds; zero where it is none or over the limit."""
     if not DECIMAL.fullmatch(text):
         return ZERO
--- a/canvasbeam/scheduler/request_reader.py
+++ b/canvasbeam/scheduler/request_reader.py
@@ -34,7 +34,7 @@
 
 
 class RequestRejectedError(Exception):
-    """A request is rejected before the core is asked: it gets a fixed response with this status and reason."""
+    """A request is rejected before the coordinator is asked: it gets a fixed response with this status and reason."""
 
     def __init__(self, status: HTTPStatus, reason: str) -> None:
         super().__init__(reason)
--- a/canvasbeam/scheduler/request_table.py
+++ b/canvasbeam/scheduler/request_table.py
@@ -14,19 +14,19 @@
 from canvasbeam.dispatch.events import ClientDisconnected, Event, RequestArrived
 from canvasbeam.dispatch.settings import Settings
 from canvasbeam.runtime.planned_shutdown import Phase, PlannedShutdown, ShutdownTimes
-from canvasbeam.scheduler.decisions import Decisions
+from canvasbeam.scheduler.dispatcher_driver import DispatcherDriver
 from canvasbeam.scheduler.limits import ZERO, Limits, nanoseconds, span_of
 from canvasbeam.scheduler.loop import Loop, SlotTable
-from canvasbeam.scheduler.repeat_rules import refusal_is_harmless
 from canvasbeam.scheduler.requests import (
     Answer,
     Attempt,
-    DuplicateRequest,
+    DuplicateRequestError,
     FinalAnswer,
     Request,
-    ShuttingDown,
-    TooManyRequests,
+    ShuttingDownError,
+    TooManyRequestsError,
 )
+from canvasbeam.scheduler.retry_rules import is_rejection_harmless
 
 log = logging.getLogger(__name__)
 
@@ -42,7 +42,7 @@
 
 
 def shutdown_times(limits: Limits) -> ShutdownTimes:
-    """The limits' times of a planned shutdown."""
+    """Return the limits' times of a planned shutdown."""
     return ShutdownTimes(
         window=nanoseconds(limits.drain_window),
         last_answer=nanoseconds(limits.last_answer),
@@ -54,7 +54,7 @@
 class RequestTable(ABC):
     """The requests in hand: taken from listeners, answered once."""
 
-    def __init__(self, loop: Loop, settings: Settings, limits: Limits, decisions: Decisions) -> None:
+    def __init__(self, loop: Loop, settings: Settings, limits: Limits, decisions: DispatcherDriver) -> None:
         self.loop = loop
         self.limits = limits
         self.settings = settings
@@ -70,8 +70,8 @@
         self.pending = 0  # requests taken that are owed their answer
 
     @abstractmethod
-    def _moot(self, attempt: Attempt) -> None:
-        """End a forward that was not sent, or whose last byte was not: it never ran."""
+    def _cancel_unexecuted(self, attempt: Attempt) -> None:
+        """End an attempt that was not sent, or whose last byte was not: it never ran."""
 
     def _outcome(self, event: Event) -> None:
         self.decisions.add_outcome(event)
@@ -81,15 +81,15 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests that are in the table: unanswered ones, and those with a forward still out."""
+        """Requests that are in the table: unanswered ones, and those with an attempt still out."""
         return self._requests.count
 
     def requests(self) -> list[Request]:
-        """The requests in the table."""
+        """Return the requests in the table."""
         return self._requests.items()
 
     def knows_class(self, name: str) -> bool:
-        """Whether the settings name this class."""
+        """Return whether the settings name this class."""
         return name in self._classes
 
     def submit(self, request: Request) -> None:
@@ -100,16 +100,16 @@
         self.pending += 1
         request.handle = self._requests.add(request)
         request.deadline = self.loop.at(request.due - self.limits.answer_guard, lambda: self._overdue(request))
-        # Guards against crossing the module: it may use all its time but a quantum, and answers then.
-        due = self.decisions.to_module(request.due - self.limits.answer_margin)
+        # Guards against crossing the dispatcher: it may use all its time but a quantum, and answers then.
+        due = self.decisions.to_dispatcher_time(request.due - self.limits.answer_margin)
         self.decisions.add_arrival(
             RequestArrived(
                 request.dispatch_id,
-                request.job_class,
+                request.request_class,
                 due,
                 request.tenant,
                 request.key,
-                service_hint_ns=nanoseconds(request.work_hint),
+                service_hint_ns=nanoseconds(request.service_hint),
                 slots=request.slots,
                 memory=request.memory,
                 repeat=request.repeat,
@@ -118,22 +118,22 @@
         self.loop.again()
 
     def _admit(self, request: Request) -> timedelta:
-        """When the request is due; an exception where it is not taken."""
+        """Return when the request is due; raise where it is not taken."""
         if self._requests.count >= self.limits.open_requests:
-            self.by_class[request.job_class]["rejected"] += 1
-            raise TooManyRequests
-        # Guards the open request: targets would take the second for a copy of the first.
+            self.by_class[request.request_class]["rejected"] += 1
+            raise TooManyRequestsError
+        # Guards the open request: workers would take the second for a copy of the first.
         if request.identity in self._identities:
-            self.by_class[request.job_class]["rejected"] += 1
-            raise DuplicateRequest
-        due = self._shutdown.deadline(nanoseconds(self.loop.now), request.job_class, nanoseconds(request.due))
+            self.by_class[request.request_class]["rejected"] += 1
+            raise DuplicateRequestError
+        due = self._shutdown.deadline(nanoseconds(self.loop.now), request.request_class, nanoseconds(request.due))
         if due is None:
-            self.by_class[request.job_class]["rejected"] += 1
-            raise ShuttingDown
+            self.by_class[request.request_class]["rejected"] += 1
+            raise ShuttingDownError
         return span_of(due)
 
-    def hang_up(self, request: Request) -> None:
-        """The client left: nothing is owed any more, and what waits for a connection is not sent."""
+    def client_disconnected(self, request: Request) -> None:
+        """End a request whose client left: nothing is owed any more, and what waits for a connection is not sent."""
         if request.answered:
             return
         self._settle(request)
@@ -147,7 +147,7 @@
         return self._shutdown.phase(nanoseconds(self.loop.now))
 
     def begin_shutdown(self) -> tuple[timedelta, ...]:
-        """SIGTERM: when each phase after the announcement begins, and when the process exits; empty the second time.
+        """Begin at SIGTERM; return when each later phase begins and the process exits; empty the second time.
 
         Guards every request taken: whatever is open at the last answer is answered then.
         """
@@ -158,7 +158,7 @@
         return changes
 
     def _answer_all(self) -> None:
-        """The platform's kill is near: what never ran is refused, the rest fails."""
+        """Answer all that is open, as the platform's kill is near: what never ran is rejected, the rest fails."""
         for request in self.requests():
             if not request.answered:
                 self._out_of_time(request)
@@ -166,7 +166,7 @@
     # --- the final answer -------------------------------------------------------------------------
 
     def _overdue(self, request: Request) -> None:
-        """Guards against a request that the module has not answered in time: late is the same as lost."""
+        """Answer a request that the dispatcher has not answered in time: late is the same as lost."""
         if not request.answered:
             log.warning("request %s was not answered by the decisions in time", request.dispatch_id)
             self._out_of_time(request)
@@ -177,41 +177,41 @@
         self._outcome(ClientDisconnected(request.dispatch_id))
 
     def _end(self, request: Request, kind: Answer, retry_after: timedelta = ZERO) -> None:
-        """Give a fixed response: a refusal only where a repeat is harmless."""
+        """Give a fixed response: a rejection only where a repeat is harmless."""
         if kind is Answer.REFUSED and not self._harmless(request):
             log.error("the decisions refused request %s, which may have run", request.dispatch_id)
             kind = Answer.FAILED
         self._answer(request, FinalAnswer(kind, retry_after=retry_after))
 
     def _end_by_itself(self, request: Request, kind: Answer) -> None:
-        """End a request that the module did not: refused where it never ran, else as given."""
-        if request.possibly_run():
+        """End a request that the dispatcher did not: refused where it never ran, else as given."""
+        if request.possibly_executed():
             self._end(request, kind)
         else:
             self._end(request, Answer.REFUSED, self.limits.retry_after)
 
     def _harmless(self, request: Request) -> bool:
-        return refusal_is_harmless(request, self._classes[request.job_class])
+        return is_rejection_harmless(request, self._classes[request.request_class])
 
     def _answer(self, request: Request, answer: FinalAnswer) -> None:
         if request.answered:
             return
         self.answers[answer.kind] += 1
-        self.by_class[request.job_class][COUNTED[answer.kind]] += 1
+        self.by_class[request.request_class][COUNTED[answer.kind]] += 1
         if answer.kind is Answer.SERVED:
-            self._shutdown.record_service_time(request.job_class, nanoseconds(self.loop.now - request.arrived))
+            self._shutdown.record_service_time(request.request_class, nanoseconds(self.loop.now - request.arrived))
         else:
             self._log_fixed(request, answer)
         self._settle(request)
         request.answer(answer)
 
     def _log_fixed(self, request: Request, answer: FinalAnswer) -> None:
-        tried = ", ".join(f"{each.target} {each.outcome.value if each.outcome else 'out'}" for each in request.attempts)
+        tried = ", ".join(f"{each.worker} {each.outcome.value if each.outcome else 'out'}" for each in request.attempts)
         left = (request.due - self.loop.now).total_seconds()
-        log.info("%s %s, %.3f s left, tried: %s", request.job_class, answer.kind.value, left, tried or "none")
+        log.info("%s %s, %.3f s left, tried: %s", request.request_class, answer.kind.value, left, tried or "none")
 
     def _settle(self, request: Request) -> None:
-        """Nothing is owed from here on; a forward that was not written whole is stopped.
+        """Owe nothing from here on, and stop attempts that were not written completely.
 
         Guards against an attempt for a client that has left: it begins with its last byte, which may still wait
         here for its connection, as proof that it never ran, or for room in the kernel.
@@ -219,23 +219,23 @@
         self.pending -= not request.answered
         request.answered = True
         self.loop.cancel(request.deadline)
-        for attempt in request.unfinished():
+        for attempt in request.open_attempts():
             if not attempt.whole:
-                self._moot(attempt)
+                self._cancel_unexecuted(attempt)
         self._forget(request)
 
     def _forget(self, request: Request) -> None:
-        if request.answered and not request.unfinished():
+        if request.answered and not request.open_attempts():
             self._done.append(request)
             self.loop.again()
 
     def _remove_done(self, done: list[Request]) -> None:
-        """Free the slots of requests that are answered and have no forward out.
+        """Free the slots of requests that are answered and have no attempt out.
 
-        Guards the module's count of attempts: a request that ended in this very pass may still be sent by the module,
-        which must then hear how that attempt ended. It leaves once the module knows.
+        Guards the dispatcher's count of attempts: a request that ended in this very pass may still be sent by the
+        dispatcher, which must then hear how that attempt ended. It leaves once the dispatcher knows.
         """
         for request in done:
-            if not request.unfinished() and self._requests.get(request.handle) is request:
+            if not request.open_attempts() and self._requests.get(request.handle) is request:
                 self._requests.remove(request.handle)
                 self._identities.discard(request.identity)
--- a/canvasbeam/scheduler/worker_connection.py
+++ b/canvasbeam/scheduler/worker_connection.py
@@ -3,7 +3,7 @@
 It owns the connection, its one time-out, and the reading of a worker's answer into one outcome. It must never send a
 request a second time, and never report an attempt as not executed unless its last byte was provably not written.
 
-A `Target` is a worker as discovery lists it (`target_table`).
+A `Worker` is a worker as discovery lists it (`target_table`).
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 from canvasbeam.dispatch.events import Outcome
 from canvasbeam.dispatch.settings import Effect
-from canvasbeam.scheduler.core import Core
 from canvasbeam.scheduler.forwarded_request import ForwardedRequest
 from canvasbeam.scheduler.limits import ZERO, Limits
 from canvasbeam.scheduler.load_report import read_health_check_report, read_report
 from canvasbeam.scheduler.loop import Deadline, Loop, Stream
+from canvasbeam.scheduler.request_coordinator import RequestCoordinator
 from canvasbeam.scheduler.requests import Attempt
-from canvasbeam.scheduler.target_table import Target
 from canvasbeam.scheduler.worker_response import WorkerResponseReader
+from canvasbeam.scheduler.worker_table import ListedWorker
 
 # Statuses with which a worker says that the request is invalid, not that the worker failed.
 INVALID_REQUEST_STATUSES = {400, 404, 405, 411, 413, 414, 415, 417, 422, 431}
@@ -41,14 +41,14 @@
     """One health check in flight, of the worker of this name."""
 
     worker: str
-    begun: timedelta
+    begun_at: timedelta
 
 
 class ConnectionPool(Protocol):
     """What owns the connections to workers."""
 
     loop: Loop
-    core: Core
+    coordinator: RequestCoordinator
     limits: Limits
     report_names: Mapping[str, str]
     connections: int  # open now
@@ -72,7 +72,7 @@
 
     rank = 1
 
-    def __init__(self, owner: ConnectionPool, target: Target, sock: socket.socket) -> None:
+    def __init__(self, owner: ConnectionPool, target: ListedWorker, sock: socket.socket) -> None:
         super().__init__(owner.loop, sock, owner.limits.read, connected=False)
         owner.connections += 1
         owner.opened += 1
@@ -127,17 +127,17 @@
         """Write what the connection carries, unless the attempt is no longer wanted."""
         host = f"{self.address[0]}:{self.address[1]}"
         if self.health_check is not None:
-            left = self.health_check.begun + self.owner.limits.probe - self.loop.now
+            left = self.health_check.begun_at + self.owner.limits.check_health - self.loop.now
             self._timeout = self.loop.after(left, self._on_health_check_deadline, self)
             self.write(f"GET /stats HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
             return
         attempt = self.attempt
         # Guards against a worker that drains, or a client that disconnects, while the connection comes up.
-        if attempt is None or not self.owner.core.may_send(attempt):
+        if attempt is None or not self.owner.coordinator.may_send(attempt):
             self.attempt = None
             self._be_idle()
             if attempt is not None:
-                self.owner.core.attempt_ended(attempt, Outcome.MOOT)
+                self.owner.coordinator.attempt_ended(attempt, Outcome.MOOT)
             return
         self._write_request(attempt, host)
 
@@ -145,7 +145,7 @@
         """Write an attempt; of a request that is not idempotent all but the last byte, which follows later."""
         forwarded = attempt.request.payload
         assert isinstance(forwarded, ForwardedRequest)
-        self.owner.core.attempt_written(attempt)
+        self.owner.coordinator.attempt_written(attempt)
         message = forwarded.head(host, attempt.request.due - self.loop.now) + forwarded.body
         if attempt.effect is Effect.SAFE:
             self.write(message)
@@ -171,7 +171,7 @@
         """Write the withheld byte where the connection still stands and the request is still wanted."""
         if not self._withheld or self.attempt is None:
             return
-        if not self.owner.core.may_finish(self.attempt):
+        if not self.owner.coordinator.may_finish(self.attempt):
             # Guards the time for retries and the client's time, which go on while the last byte is withheld.
             self._finish(Outcome.MOOT)
             self.close()
@@ -184,7 +184,7 @@
     def on_written(self) -> None:
         """Report that the attempt was written completely."""
         if self.attempt is not None and not self._withheld and self.attempt.written is not None:
-            self.owner.core.attempt_sent_whole(self.attempt)
+            self.owner.coordinator.attempt_sent_whole(self.attempt)
 
     def _on_health_check_deadline(self) -> None:
         """End a health check that has no answer in time."""
@@ -198,7 +198,7 @@
         self.idle_since = self.loop.now
         self._response = self._new_response()
         self.loop.cancel(self._timeout)
-        self._timeout = self.loop.after(self.owner.limits.target_idle, self.close, self)
+        self._timeout = self.loop.after(self.owner.limits.worker_idle, self.close, self)
         self.owner.keep(self)
 
     # --- the answer -------------------------------------------------------------------------------
@@ -245,9 +245,9 @@
             if "load" in document:
                 self._response.report = read_report(document["load"], self.owner.report_names)
             if state == "started":
-                self.owner.core.attempt_started(attempt)
+                self.owner.coordinator.attempt_started(attempt)
             elif state == "running":
-                self.owner.core.attempt_progressed(attempt, float(document.get("share", 0.0)))
+                self.owner.coordinator.attempt_progressed(attempt, float(document.get("share", 0.0)))
             elif state == "done":
                 self._finish(Outcome.OK, document["result"].encode())
             elif state in OUTCOMES_BY_LAST_STATE:
@@ -284,7 +284,7 @@
             self._finish(Outcome.FULL)
         elif response.status in INVALID_REQUEST_STATUSES:
             self.attempt = None
-            self.owner.core.attempt_unusable(attempt, response.report)
+            self.owner.coordinator.attempt_rejected(attempt, response.report)
             self._finish(Outcome.CANCELLED)
         else:
             self._finish(Outcome.ERROR)
@@ -294,13 +294,13 @@
         attempt, self.attempt = self.attempt, None
         health_check, self.health_check = self.health_check, None
         self.loop.cancel(self._timeout)
-        core, report = self.owner.core, self._response.report
+        coordinator, report = self.owner.coordinator, self._response.report
         if attempt is not None:
             # Guards against a connection that never ends its framing after the last line.
-            self._timeout = self.loop.after(self.owner.limits.target_tail, self.close, self)
-            core.attempt_ended(attempt, outcome, report, result)
+            self._timeout = self.loop.after(self.owner.limits.worker_tail, self.close, self)
+            coordinator.attempt_ended(attempt, outcome, report, result)
         if health_check is not None:
-            core.probe_ended(health_check.worker, outcome, self.loop.now - health_check.begun, report)
+            coordinator.health_check_ended(health_check.worker, outcome, self.loop.now - health_check.begun_at, report)
 
     # --- the end ----------------------------------------------------------------------------------
 
--- a/canvasbeam/scheduler/target_group.py
+++ b/canvasbeam/scheduler/worker_discovery.py
@@ -1,7 +1,7 @@
-"""Discovery: the target group, kept up to date by one watch after another.
+"""Discovery: the endpoint list, kept up to date by one watch after another.
 
 It owns the connection to discovery, the version last told, and the reading of discovery's entries. It must
-never judge a target's health, never leave more than the allowed gap between two calls while discovery
+never judge a worker's health, never leave more than the allowed gap between two calls while discovery
 answers, never drop the list because discovery is silent or has moved, never take news of a connection
 that it has left, and never call a discovery that fails as often as one that answers.
 """
@@ -22,10 +22,10 @@
 from canvasbeam.dispatch.events import ListKind, WorkerState
 from canvasbeam.dispatch.json_fields import Fields, WireError, number, required, text, whole_number
 from canvasbeam.dispatch.settings import Discovery
-from canvasbeam.scheduler.core import Core
 from canvasbeam.scheduler.limits import Limits, span_of
 from canvasbeam.scheduler.loop import Deadline, Loop, Stream
-from canvasbeam.scheduler.target_table import Target
+from canvasbeam.scheduler.request_coordinator import RequestCoordinator
+from canvasbeam.scheduler.worker_table import ListedWorker
 
 log = logging.getLogger(__name__)
 
@@ -42,7 +42,7 @@
 
 
 def read_address(text: str) -> tuple[str, int]:
-    """A numeric address and a port."""
+    """Return a numeric address and its port; raise `ValueError` for any other text."""
     host, colon, port = text.rpartition(":")
     host = host.strip("[]")
     try:
@@ -56,7 +56,7 @@
 
 
 def connect(address: tuple[str, int]) -> socket.socket:
-    """A socket that is connecting; an OSError where it fails at once."""
+    """Return a socket that is connecting; raise `OSError` where it fails at once."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     sock.setblocking(False)
@@ -67,10 +67,10 @@
     return sock
 
 
-def read_target(fields: Fields, born: timedelta) -> Target:
-    """One entry of discovery's list; `born` is the Unix time of the loop's zero."""
+def read_worker(fields: Fields, born: timedelta) -> ListedWorker:
+    """Return one entry of discovery's list; `born` is the Unix time of the loop's zero."""
     started = whole_number(fields, "born_ms", 0)
-    return Target(
+    return ListedWorker(
         name=text(fields, "host"),
         address=read_address(text(fields, "dial")),
         zone=text(fields, "site"),
@@ -83,28 +83,38 @@
     )
 
 
-def read_list(message: Fields, born: timedelta) -> tuple[bool, list[Target], int]:
-    """Whether a list is whole, its targets, and its version."""
+def read_list(message: Fields, born: timedelta) -> tuple[bool, list[ListedWorker], int]:
+    """Return whether a list is complete, its workers, and its version."""
     hosts = required(message, "hosts")
-    if not isinstance(hosts, list) or not all(isinstance(each, dict) for each in hosts):
+    if not isinstance(hosts, list) or not all(isinstance(host, dict) for host in hosts):
         raise WireError("discovery: hosts is not a list of objects")
-    targets = []
-    for each in hosts:
+    workers = []
+    for host in hosts:
         try:
-            targets.append(read_target(each, born))
+            workers.append(read_worker(host, born))
         except (WireError, ValueError, OverflowError) as error:
-            # Guards the list: one target that cannot be read must not hide all others.
+            # Guards the list: one worker that cannot be read must not hide all others.
             log.warning("discovery names a target that cannot be used: %s", error)
-    return bool(message.get("whole")), targets, whole_number(message, "seq")
+    return bool(message.get("whole")), workers, whole_number(message, "seq")
 
 
-class TargetGroup:
-    """Keeps the core's list as discovery tells it."""
+def read_answer(status: int, body: bytes) -> Fields:
+    """Return the message in an answer of discovery; raise `WireError` or `ValueError` where there is none."""
+    if status != 200:
+        raise WireError(f"discovery answered {status}")
+    message = json.loads(body)
+    if not isinstance(message, dict):
+        raise WireError("discovery's answer is no object")
+    return message
+
+
+class WorkerDiscovery:
+    """Keeps the coordinator's list as discovery tells it."""
 
     def __init__(
         self,
         loop: Loop,
-        core: Core,
+        coordinator: RequestCoordinator,
         limits: Limits,
         address: tuple[str, int],
         born: timedelta,
@@ -113,7 +123,7 @@
     ) -> None:
         """`whose` is unlike any other scheduler's, so that the calls of many that fail together part."""
         self._loop = loop
-        self._core = core
+        self._coordinator = coordinator
         self._limits = limits
         self.address = address
         self._born = born
@@ -123,7 +133,7 @@
         self._asked = timedelta(0)
         self._fails = 0  # calls in a row
         # Who has not asked for the rules' time counts as told; a call that failed leaves four times as long.
-        ask_every = span_of(core.settings.rules.list_interval_ns) or limits.list_spread * 2
+        ask_every = span_of(coordinator.settings.rules.list_interval_ns) or limits.list_spread * 2
         self._spread_most = min(ask_every, limits.list_gap) * 0.9
         self._random = random.Random(whose)
 
@@ -134,9 +144,9 @@
         start together and ask for the whole list keep each other from getting it.
         """
         if known:
-            is_whole, targets, version = read_list(known, self._born)
-            self._core.listed(ListKind.WARM_COPY, targets, version)
-            if is_whole and targets and "seq" in known:
+            is_complete, workers, version = read_list(known, self._born)
+            self._coordinator.listed(ListKind.WARM_COPY, workers, version)
+            if is_complete and workers and "seq" in known:
                 self._version = version
         if self._spares():
             spread = min(self._limits.list_spread, self._spread_most)
@@ -145,14 +155,14 @@
             self._ask()
 
     def _spares(self) -> bool:
-        """Whether first calls are spread over time, and failed ones made again only after much longer.
+        """Return whether first calls are spread over time, and failed ones made again only after much longer.
 
         Guards discovery where lists must be asked for: each first call of a watch is work for it, also one that it
         turns away; what it tells a watch that stands is not. Of 40 schedulers that started together 16 got a
         watch, and the others' calls kept each other, and what the 16 were to be told, waiting for good.
         """
-        lines = self._core.settings.dispatchers * len(self._core.targets)
-        return self._core.settings.discovery is Discovery.ASKED and lines > self._limits.spared_lines
+        lines = self._coordinator.settings.dispatchers * len(self._coordinator.workers)
+        return self._coordinator.settings.discovery is Discovery.ASKED and lines > self._limits.spared_lines
 
     def move(self, address: tuple[str, int]) -> None:
         """Follow discovery at another address from now on; the list stays until the new one has told its own.
@@ -167,7 +177,7 @@
         self._ask()
 
     def _ask(self) -> None:
-        """The next call: the whole list first, then one watch after another."""
+        """Make the next call: for the complete list first, then one watch after another."""
         self._wait = None
         self._asked = self._loop.now
         path, patience = "/registry/instances", self._limits.list_wait
@@ -196,12 +206,7 @@
         if not stays:
             self._hang_up()
         try:
-            if status != 200:
-                raise WireError(f"discovery answered {status}")
-            message = json.loads(body)
-            if not isinstance(message, dict):
-                raise WireError("discovery's answer is no object")
-            is_whole, targets, version = read_list(message, self._born)
+            is_complete, workers, version = read_list(read_answer(status, body), self._born)
         except (WireError, ValueError) as error:
             self._failed(str(error))
             return
@@ -209,16 +214,16 @@
         if self._fails:
             log.info("discovery answers again, after %d failed calls", self._fails)
         self._fails = 0
-        if not is_whole and self._version is not None and version < self._version:
+        if not is_complete and self._version is not None and version < self._version:
             # Guards the list against a discovery that began anew: what it counts is not what was known.
             log.warning("discovery is at version %d, before %d: the whole list is asked for", version, self._version)
             self._version = None
             self._ask()
             return
         self._version = version
-        if is_whole or targets:
-            kind = ListKind.COMPLETE if is_whole else ListKind.CHANGES
-            self._core.listed(kind, targets, version)
+        if is_complete or workers:
+            kind = ListKind.COMPLETE if is_complete else ListKind.CHANGES
+            self._coordinator.listed(kind, workers, version)
         # Guards against a spin where answers come back at once; the gap is far under the one allowed.
         if not first and self._loop.now - self._asked < self._limits.watch_gap:
             self._wait = self._loop.after(self._limits.watch_gap, self._ask)
@@ -226,12 +231,12 @@
             self._ask()
 
     def failed(self, connection: _Discovery, why: str) -> None:
-        """A connection failed. One that was left before fails late: that must not disturb its successor."""
+        """Take the failure of a connection. One that was left before fails late: its successor goes on."""
         if connection is self._connection:
             self._failed(why)
 
     def _failed(self, why: str) -> None:
-        """A call failed: ask again on a new connection, soon at first, then less and less often.
+        """Ask again on a new connection after a failed call, soon at first, then less and less often.
 
         Guards discovery: at 40 schedulers that each asked ten times a second nobody's call came through for as
         long as they went on. The pauses differ from one scheduler to the next, else all would ask together.
@@ -247,7 +252,7 @@
         log.warning("%s; asked again in %.2f s", why, pause.total_seconds())
         self._loop.cancel(self._wait)
         self._hang_up()
-        self._core.list_lost()
+        self._coordinator.on_list_lost()
         self._wait = self._loop.after(pause, self._ask)
 
     def _hang_up(self) -> None:
@@ -261,7 +266,7 @@
 
     rank = 0
 
-    def __init__(self, loop: Loop, sock: socket.socket, limits: Limits, group: TargetGroup) -> None:
+    def __init__(self, loop: Loop, sock: socket.socket, limits: Limits, group: WorkerDiscovery) -> None:
         super().__init__(loop, sock, limits.read, connected=False)
         self._limits = limits
         self._group = group
@@ -271,11 +276,11 @@
         self._stays = False
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body, from the parser."""
+        """Collect a part of the body, from the parser."""
         self._body += data
 
     def on_message_complete(self) -> None:
-        """The end of an answer, from the parser."""
+        """Take the end of an answer, from the parser."""
         self._done = True
         self._stays = bool(self._parser.should_keep_alive())  # only known inside this callback
 
--- a/canvasbeam/simulator/engine_sim.py
+++ b/canvasbeam/simulator/engine_sim.py
@@ -16,9 +16,9 @@
 import msgspec
 
 from canvasbeam.dispatch.events import ListKind
-from canvasbeam.scheduler.core import Core
 from canvasbeam.scheduler.limits import MICROSECOND
-from canvasbeam.scheduler.target_table import Target
+from canvasbeam.scheduler.request_coordinator import RequestCoordinator
+from canvasbeam.scheduler.worker_table import ListedWorker
 from canvasbeam.simulator.model import draw, spec
 from canvasbeam.simulator.model.clients import STILL_COMES, Try
 from canvasbeam.simulator.model.draw import Stream
@@ -44,7 +44,7 @@
     def __init__(
         self,
         scenario: spec.Scenario,
-        core_class: type[Core] = Core,
+        core_class: type[RequestCoordinator] = RequestCoordinator,
         fleet: list[Machine] | None = None,
         jobs: draw.Jobs | None = None,
     ) -> None:
@@ -54,7 +54,7 @@
         super().__init__(scenario, START, fleet, jobs)
         self.network = SimulatedNetwork(self, self.queue, self.chance.single(Stream.NETWORK))
         self.passes = histogram()  # what a pass of the core takes, in tenths of a microsecond
-        self._translated: dict[int, tuple[Sequence[Listed], list[Target]]] = {}
+        self._translated: dict[int, tuple[Sequence[Listed], list[ListedWorker]]] = {}
         self.schedulers = [SimulatedScheduler(self, place) for place in range(scenario.schedulers.count)]
         self.peers = None
         if scenario.schedulers.peers:
@@ -98,15 +98,15 @@
 
     # --- discovery --------------------------------------------------------------------------------
 
-    def target(self, each: Listed) -> Target:
+    def target(self, each: Listed) -> ListedWorker:
         """An entry as the program's core takes it."""
         machine, born = each.machine, each.born_ns
         started = None if not born else (born - START) // 1_000_000 * 1000 * MICROSECOND
-        return Target(
+        return ListedWorker(
             machine.name, ("127.0.0.1", 1), machine.zone, machine.model, machine.cell, each.state, each.weight, started
         )
 
-    def targets(self, entries: Sequence[Listed]) -> list[Target]:
+    def targets(self, entries: Sequence[Listed]) -> list[ListedWorker]:
         """The same for several, remembered while they are on their way to all."""
         found = self._translated.get(id(entries))
         if found is None or found[0] is not entries:
@@ -197,7 +197,7 @@
 
 def play(
     scenario: spec.Scenario,
-    core_class: type[Core] = Core,
+    core_class: type[RequestCoordinator] = RequestCoordinator,
     fleet: list[Machine] | None = None,
     jobs: draw.Jobs | None = None,
 ) -> tuple[Result, Cost]:
--- a/canvasbeam/simulator/simulated_network.py
+++ b/canvasbeam/simulator/simulated_network.py
@@ -13,8 +13,8 @@
 from typing import Protocol
 
 from canvasbeam.dispatch.events import Outcome
-from canvasbeam.scheduler.core import Core
 from canvasbeam.scheduler.limits import MICROSECOND, Limits, nanoseconds
+from canvasbeam.scheduler.request_coordinator import RequestCoordinator
 from canvasbeam.scheduler.requests import Attempt
 from canvasbeam.simulator.model import worker_messages
 from canvasbeam.simulator.model.clients import Try
@@ -86,9 +86,9 @@
     @property
     def loop(self) -> SimulatedLoop: ...
     @property
-    def core(self) -> Core: ...
+    def coordinator(self) -> RequestCoordinator: ...
     @property
-    def carrier(self) -> ForwardingCarrier: ...
+    def transport(self) -> ForwardingCarrier: ...
     @property
     def forwards(self) -> dict[int, Forward]: ...
 
@@ -179,7 +179,7 @@
             if not forward.over and scheduler.alive:
                 forward.over = True
                 scheduler.forwards.pop(forward.number, None)
-                scheduler.core.attempt_ended(forward.attempt, Outcome.CONNECT_FAILED)
+                scheduler.coordinator.attempt_ended(forward.attempt, Outcome.CONNECT_FAILED)
 
         def reached() -> None:
             if forward.over:
@@ -265,15 +265,15 @@
     def _told(self, forward: Forward, said: Said, share: float, report: dict[str, float]) -> None:
         if forward.over or not forward.scheduler.alive:
             return
-        core = forward.scheduler.core
+        coordinator = forward.scheduler.coordinator
         if said is Said.STARTED:
-            core.attempt_started(forward.attempt)
+            coordinator.attempt_started(forward.attempt)
         elif said is Said.RUNNING:
-            core.attempt_progressed(forward.attempt, share)
+            coordinator.attempt_progressed(forward.attempt, share)
         else:
             result = result_of(forward.request).encode() if said is Said.DONE else b""
             named = {REPORT[name]: value for name, value in report.items()}
-            forward.scheduler.carrier.ended(forward, OUTCOMES[said], named, result)
+            forward.scheduler.transport.ended(forward, OUTCOMES[said], named, result)
 
     def closed(self, forward: Forward) -> None:
         """A scheduler closed a connection that was in use; the worker hears of it a little later."""
@@ -299,13 +299,13 @@
     def _broke(self, forward: Forward) -> None:
         if not forward.over and forward.scheduler.alive:
             outcome = Outcome.BROKEN if forward.written else Outcome.UNSENT
-            forward.scheduler.carrier.ended(forward, outcome, {}, b"")
+            forward.scheduler.transport.ended(forward, outcome, {}, b"")
 
     def reset_others(self, to: SimulatedWorker) -> None:
         """Idle connections to a dead worker end, and so do those whose request has not come whole."""
         for scheduler in self._world.senders:
             if scheduler.alive:
-                scheduler.carrier.idle.pop(to.name, None)
+                scheduler.transport.idle.pop(to.name, None)
                 for forward in tuple(scheduler.forwards.values()):
                     if forward.worker is to and forward.came_up and not forward.arrived:
                         self.break_off(forward)
@@ -332,7 +332,7 @@
                 loop.gate(partial(ended, outcome, report))
             elif scheduler.alive and loop is scheduler.loop:
                 span = (self._queue.now - begun) // 1000 * MICROSECOND
-                scheduler.core.probe_ended(name, outcome, span, report or None)
+                scheduler.coordinator.health_check_ended(name, outcome, span, report or None)
 
         def reached() -> None:
             if self._world.silent(scheduler.zone, to):
--- a/canvasbeam/simulator/simulated_scheduler.py
+++ b/canvasbeam/simulator/simulated_scheduler.py
@@ -11,10 +11,10 @@
 
 from canvasbeam.dispatch.events import ListKind, Outcome
 from canvasbeam.dispatch.settings import Effect
-from canvasbeam.scheduler.core import Core
 from canvasbeam.scheduler.limits import MICROSECOND, Limits, nanoseconds
-from canvasbeam.scheduler.requests import Answer, Attempt, FinalAnswer, Request, ShuttingDown
-from canvasbeam.scheduler.target_table import Target
+from canvasbeam.scheduler.request_coordinator import RequestCoordinator
+from canvasbeam.scheduler.requests import Answer, Attempt, FinalAnswer, Request, ShuttingDownError
+from canvasbeam.scheduler.worker_table import ListedWorker
 from canvasbeam.simulator import deployment
 from canvasbeam.simulator.model import faults
 from canvasbeam.simulator.model.clients import Try
@@ -29,7 +29,7 @@
 class SchedulerWorld(NetworkWorld):
     """A world in simulated time, as far as its schedulers know it."""
 
-    core_class: type[Core]
+    core_class: type[RequestCoordinator]
     passes: HdrHistogram  # what a pass of the core takes, in tenths of a microsecond
     peers: Embedded | None  # the schedulers' knowledge of each other, where they have any
 
@@ -38,27 +38,27 @@
         """Do this one way between client and scheduler later."""
 
     @abstractmethod
-    def targets(self, entries: Sequence[Listed]) -> list[Target]:
+    def targets(self, entries: Sequence[Listed]) -> list[ListedWorker]:
         """Entries of discovery's as the program's core takes them."""
 
 
-class SimulatedCarrier:
+class SimulatedTransport:
     """Forwards and probes of one scheduler over the simulated network."""
 
     def __init__(self, scheduler: SimulatedScheduler) -> None:
         self.scheduler = scheduler
         self.idle: dict[str, list[int]] = {}  # by worker: the births that idle connections belong to
 
-    def send(self, attempt: Attempt, target: Target) -> None:
+    def send(self, attempt: Attempt, worker: ListedWorker) -> None:
         """Start a forward."""
         scheduler = self.scheduler
-        to = scheduler.world.workers[target.name]
+        to = scheduler.world.workers[worker.name]
         payload = attempt.request.payload
         assert isinstance(payload, Try)
         forward = Forward(attempt, scheduler, to, payload.request, scheduler.world.network.next_forward())
-        attempt.carrier = forward
+        attempt.transport = forward
         scheduler.forwards[forward.number] = forward
-        kept = self.idle.get(target.name)
+        kept = self.idle.get(worker.name)
         if kept:
             born = kept.pop()
             forward.came_up, forward.born = True, born
@@ -68,16 +68,16 @@
 
     def _begin(self, forward: Forward, took: int) -> None:
         """The connection is up: write, but for the last byte of what must not run twice."""
-        core, attempt = self.scheduler.core, forward.attempt
+        coordinator, attempt = self.scheduler.coordinator, forward.attempt
         if forward.over or attempt.outcome is not None:
             return
         forward.came_up = True
-        if not core.may_send(attempt):
+        if not coordinator.may_send(attempt):
             forward.over = True
             self.scheduler.forwards.pop(forward.number, None)
-            core.attempt_ended(attempt, Outcome.MOOT)
+            coordinator.attempt_ended(attempt, Outcome.MOOT)
             return
-        core.attempt_written(attempt)
+        coordinator.attempt_written(attempt)
         world = self.scheduler.world
         world.network.first_byte(forward)
         if attempt.effect is Effect.SAFE:
@@ -92,9 +92,9 @@
             forward.written = True
             self.scheduler.world.network.offer(forward)
 
-    def withdraw(self, attempt: Attempt) -> bool:
+    def cancel_attempt(self, attempt: Attempt) -> bool:
         """Stop a forward by closing its connection."""
-        forward = attempt.carrier
+        forward = attempt.transport
         if not isinstance(forward, Forward):
             return attempt.written is not None
         if not forward.over:
@@ -103,9 +103,9 @@
             self.scheduler.world.network.closed(forward)
         return forward.written
 
-    def probe(self, target: Target) -> None:
+    def check_health(self, worker: ListedWorker) -> None:
         """Ask a worker for its load report."""
-        self.scheduler.world.network.probe(self.scheduler, target.name)
+        self.scheduler.world.network.probe(self.scheduler, worker.name)
 
     def close_idle(self, target: str) -> None:
         """Close the idle connections to a worker."""
@@ -127,7 +127,7 @@
                 forward.worker.hung_up(born)
         else:
             forward.worker.hung_up(forward.born)
-        self.scheduler.core.attempt_ended(forward.attempt, outcome, report or None, result)
+        self.scheduler.coordinator.attempt_ended(forward.attempt, outcome, report or None, result)
 
 
 class SimulatedScheduler:
@@ -143,7 +143,7 @@
         self.starts = 0
         self.alive = False
         self.draining = False
-        self.known: dict[str, Target] = {}
+        self.known: dict[str, ListedWorker] = {}
         self.forwards: dict[int, Forward] = {}
         self.tries: dict[int, Try] = {}
         self.decide_ns = 0
@@ -155,9 +155,9 @@
         self.loop = SimulatedLoop(world.queue, round(world.scenario.schedulers.pass_ms * MS))
         seed = deployment.seed_of(world.chance, self.place, self.starts)
         born = START // 1000 * MICROSECOND
-        self.core = world.core_class(self.loop, self.settings, self.limits, seed, born)  # type: ignore[arg-type]
-        self.carrier = SimulatedCarrier(self)
-        self.core.carrier = self.carrier
+        self.coordinator = world.core_class(self.loop, self.settings, self.limits, seed, born)  # type: ignore[arg-type]
+        self.transport = SimulatedTransport(self)
+        self.coordinator.transport = self.transport
         self.loop.end_of_pass = self._pass
         self.starts += 1
         self.alive, self.draining = True, False
@@ -165,7 +165,7 @@
             clocks = world.scenario.schedulers.clock_s
             world.peers.start(self.name, clocks[self.place] if self.place < len(clocks) else 0.0)
         if self.starts > 1 and self.known:
-            self.core.listed(ListKind.WARM_COPY, list(self.known.values()), 1)
+            self.coordinator.listed(ListKind.WARM_COPY, list(self.known.values()), 1)
             world.queue.after(20 * MS, partial(self._whole, self.loop))
         else:
             self.heard(ListKind.COMPLETE, world.registry.whole())
@@ -176,12 +176,12 @@
 
     def _pass(self) -> None:
         begun = time.perf_counter_ns()
-        self.core.end_of_pass()
+        self.coordinator.end_of_pass()
         took = time.perf_counter_ns() - begun
         self.decide_ns += took
         self.decisions += 1
         self.world.passes.record_value(max(1, took // 100))
-        if self.draining and not self.core.open_requests:
+        if self.draining and not self.coordinator.open_requests:
             self.stop()
 
     def heard(self, kind: ListKind, entries: Sequence[Listed]) -> None:
@@ -195,11 +195,11 @@
         targets = self.world.targets(entries)
         for each in targets:
             self.known[each.name] = each
-        self.core.listed(kind, targets, 1)
+        self.coordinator.listed(kind, targets, 1)
 
     def begin_shutdown(self) -> None:
         """SIGTERM: what cannot be answered in time is refused, and all is answered before the kill."""
-        self.loop.gate(self.core.begin_shutdown)
+        self.loop.gate(self.coordinator.begin_shutdown)
         if self.world.peers is not None:
             self.world.peers.leave(self.name)
         self.world.queue.after(nanoseconds(self.limits.leave), partial(self.leave, self.starts))
@@ -214,7 +214,7 @@
         if starts != self.starts:
             return
         self.draining = True
-        if not self.core.open_requests:
+        if not self.coordinator.open_requests:
             self.stop()
 
     def stop(self) -> None:
@@ -229,8 +229,8 @@
             forward.over = True
             self.world.network.closed(forward)
         self.forwards.clear()
-        for name in tuple(self.carrier.idle):
-            self.carrier.close_idle(name)
+        for name in tuple(self.transport.idle):
+            self.transport.close_idle(name)
         lost, self.tries = self.tries, {}
         for each in lost.values():
             self.world.after_client(partial(self.world.clients.lost, each))
@@ -250,7 +250,7 @@
         departments = world.scenario.departments
         request = Request(
             identity=str(attempt.request),
-            job_class=cls.name,
+            request_class=cls.name,
             due=(attempt.due_ns - START) // 1000 * MICROSECOND,
             payload=attempt,
             answer=partial(self._answered, attempt),
@@ -258,13 +258,13 @@
             key=str(attempt.sid),
             slots=float(attempt.slots),
             repeat=attempt.marked,
-            work_hint=attempt.hint_ns // 1000 * MICROSECOND,
+            service_hint=attempt.hint_ns // 1000 * MICROSECOND,
         )
         self.tries[attempt.request] = attempt
         attempt.core_request = request
         try:
-            self.core.submit(request)
-        except ShuttingDown:  # refused at once, as the program's listener does
+            self.coordinator.submit(request)
+        except ShuttingDownError:  # refused at once, as the program's listener does
             self._answered(attempt, FinalAnswer(Answer.REFUSED, retry_after=self.limits.shutdown_retry_after))
 
     def left(self, attempt: Try) -> None:
@@ -273,7 +273,7 @@
             self.loop.gate(partial(self.left, attempt))
         elif self.tries.pop(attempt.request, None) is not None and self.alive:
             assert isinstance(attempt.core_request, Request)
-            self.core.hang_up(attempt.core_request)
+            self.coordinator.client_disconnected(attempt.core_request)
 
     def _answered(self, attempt: Try, answer: FinalAnswer) -> None:
         self.tries.pop(attempt.request, None)
--- a/canvasbeam/simulator/wire.py
+++ b/canvasbeam/simulator/wire.py
@@ -17,7 +17,7 @@
 
 from canvasbeam.scheduler.limits import MICROSECOND, ZERO
 from canvasbeam.scheduler.loop import READ, Endpoint, Loop, Stream
-from canvasbeam.scheduler.target_group import connect
+from canvasbeam.scheduler.worker_discovery import connect
 
 READ_SIZE = 64 * 1024
 LARGEST = 4 * 1024 * 1024  # of a body
--- a/tests/admin/test_operations.py
+++ b/tests/admin/test_operations.py
@@ -38,7 +38,7 @@
     assert request_maintenance(world, "s-0") == 200
     world.list_targets()  # discovery still says live
     assert serve_all(world, 6) == [0, 6]
-    assert world.core.ended[Outcome.MOOT] == 0  # the dispatcher was notified, and chose it for none
+    assert world.coordinator.ended[Outcome.MOOT] == 0  # the dispatcher was notified, and chose it for none
     assert world.call(b"GET /healthcheck HTTP/1.1\r\n\r\n").split()[1] == "200"
 
 
@@ -49,10 +49,10 @@
     world.until(lambda: True)
     back_at = world.loop.now
     assert request_maintenance(world, "s-0", "ready") == 200
-    assert world.core.table.in_maintenance == set()
-    entry = world.core._entry(world.core.targets["s-0"])
+    assert world.coordinator.worker_table.in_maintenance == set()
+    entry = world.coordinator._entry(world.coordinator.workers["s-0"])
     assert entry.state is WorkerState.LIVE
-    assert entry.started_ns >= world.core.decisions.to_module(back_at)
+    assert entry.started_ns >= world.coordinator.decisions.to_dispatcher_time(back_at)
     assert serve_all(world, 8)[0] > 0  # used again
 
 
@@ -62,7 +62,7 @@
     assert request_maintenance(world, "nobody", "ready") == 404
     assert request_maintenance(world, "s-0", "stop") == 404
     assert status(world.call(b"GET /workers/s-0/maint HTTP/1.1\r\n\r\n")) == 405
-    assert world.core.table.in_maintenance == set()
+    assert world.coordinator.worker_table.in_maintenance == set()
 
 
 def test_health_is_not_ok_with_the_only_worker_in_maintenance_mode() -> None:
@@ -76,14 +76,14 @@
     old = ManagedScheduler(*servers, handover=Handover(handover_path(tmp_path, ("127.0.0.1", 5000))))
     assert request_maintenance(old, "s-1") == 200
     new = ManagedScheduler(*servers, handover=Handover(handover_path(tmp_path, ("127.0.0.1", 5000))))
-    assert new.core.table.in_maintenance == {"s-1"}  # read at its start
+    assert new.coordinator.worker_table.in_maintenance == {"s-1"}  # read at its start
     assert request_maintenance(new, "s-0") == 200
-    old.until(lambda: old.core.table.in_maintenance == {"s-0", "s-1"})  # applied by the one still running
+    old.until(lambda: old.coordinator.worker_table.in_maintenance == {"s-0", "s-1"})  # applied by the one still running
     assert request_maintenance(new, "s-1", "ready") == 200
-    old.until(lambda: old.core.table.in_maintenance == {"s-0"})
+    old.until(lambda: old.coordinator.worker_table.in_maintenance == {"s-0"})
     assert serve_all(new, 3) == [0, 3]
     elsewhere = ManagedScheduler(*servers, handover=Handover(handover_path(tmp_path, ("127.0.0.1", 5001))))
-    assert elsewhere.core.table.in_maintenance == set()  # a scheduler on another address keeps its own
+    assert elsewhere.coordinator.worker_table.in_maintenance == set()  # a scheduler on another address keeps its own
 
 
 def figures(world: ManagedScheduler) -> dict[str, Any]:
@@ -95,7 +95,7 @@
 
 
 def test_the_figures_count_a_known_sequence_of_requests() -> None:
-    limits = Limits(client_connections=8, target_connections=8, open_requests=1)
+    limits = Limits(client_connections=8, worker_connections=8, open_requests=1)
     world = ManagedScheduler(Server(), limits=limits)
     first = figures(world)
     assert first["downstream_requests"]["look"] == {"completed": 0, "rejected": 0, "failed": 0}
@@ -132,16 +132,16 @@
     assert world.answer(twice).split()[1] == "409"
     assert figures(world)["pending"] == 1
     disconnecting.close()
-    world.until(lambda: world.core.pending == 0)
+    world.until(lambda: world.coordinator.pending == 0)
     assert figures(world)["downstream_requests"]["look"]["rejected"] == 1
 
 
 def test_an_ejected_worker_counts_as_unavailable() -> None:
     world = ManagedScheduler(Server(), Server())
     world.servers[1].sock.close()  # refuses connections: ejected at the first one
-    world.core.listed(ListKind.COMPLETE, [world.target(0), world.target(1)], 2)
+    world.coordinator.listed(ListKind.COMPLETE, [world.target(0), world.target(1)], 2)
     clients = [world.client(job(call_id=f"c{number}")) for number in range(4)]
-    world.until(lambda: world.core.avoided() == 1)
+    world.until(lambda: world.coordinator.unavailable_workers() == 1)
     assert figures(world)["members_unavailable"] == 1
     for client in clients:
         client.close()
@@ -153,9 +153,9 @@
     world.until(lambda: True)
     restarted = world.loop.now
     reported = replace(world.target(0), started=restarted)
-    world.core.listed(ListKind.COMPLETE, [reported, world.target(1)], 2)
+    world.coordinator.listed(ListKind.COMPLETE, [reported, world.target(1)], 2)
     begun = world.loop.now
     world.until(lambda: world.loop.now > begun)
     assert request_maintenance(world, "s-0", "ready") == 200
-    entry = world.core._entry(world.core.targets["s-0"])
-    assert entry.started_ns == world.core.decisions.to_module(restarted)
+    entry = world.coordinator._entry(world.coordinator.workers["s-0"])
+    assert entry.started_ns == world.coordinator.decisions.to_dispatcher_time(restarted)
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -50,7 +50,7 @@
 
 
 def test_an_incomplete_request_is_answered_and_closed_within_its_time() -> None:
-    limits = replace(Limits(client_connections=8, target_connections=8), mgmt_call=Limits().mgmt_call / 100)
+    limits = replace(Limits(client_connections=8, worker_connections=8), mgmt_call=Limits().mgmt_call / 100)
     world = ManagedScheduler(Server(), limits=limits)
     for cut in range(1, len(b"GET /healthcheck HTTP/1.1\r\n\r\n")):
         answer = world.call(b"GET /healthcheck HTTP/1.1\r\n\r\n"[:cut])
@@ -77,7 +77,7 @@
 
 def test_the_clients_address_is_shared_with_a_second_process() -> None:
     world = ManagedScheduler(Server())
-    beside = Listener.bind(world.loop, world.core, world.limits, world.address)
+    beside = Listener.bind(world.loop, world.coordinator, world.limits, world.address)
     assert beside.sock.getsockname() == world.address
     beside.close()
 
--- a/tests/dispatch/test_drawn_deployments.py
+++ b/tests/dispatch/test_drawn_deployments.py
@@ -245,7 +245,7 @@
     world = World(
         *(Server() for _ in range(targets)), limits=Limits.of(told, 512, 88), allowed=told.limits, **changes
     )  # fmt: skip
-    dispatcher, answered = world.core.decisions.dispatcher, set()
+    dispatcher, answered = world.coordinator.decisions.dispatcher, set()
 
     def serve() -> None:
         for server in world.servers:
@@ -271,7 +271,7 @@
         status = client.got.split()[1]
         assert status == b"200" or (status == b"503" and number >= len(told.classes))
         assert status == b"503" or client.got.endswith(f"r-c{number}".encode())
-    assert world.core.decisions.dispatcher is dispatcher  # no exception in the decisions
+    assert world.coordinator.decisions.dispatcher is dispatcher  # no exception in the decisions
     for each_peer in clients:
         each_peer.close()
     world.loop.close()
--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -454,7 +454,7 @@
     late = world.client(job("pay", budget="0.3"))
     world.asked()
     told["out of time"] = recorded(world.answer(late).encode())
-    limits = Limits(client_connections=8, target_connections=8, open_requests=1)
+    limits = Limits(client_connections=8, worker_connections=8, open_requests=1)
     world = World(Server(), limits=limits)
     first = world.client(job(call_id="c1"))
     world.asked()
@@ -486,7 +486,7 @@
     )  # fmt: skip
     for number, call in enumerate(calls, 1):
         told[f"{number}. {call}"] = recorded(world.call(f"{call} HTTP/1.1\r\n\r\n".encode()).encode())
-    late = replace(Limits(client_connections=8, target_connections=8), mgmt_call=Limits().mgmt_call / 100)
+    late = replace(Limits(client_connections=8, worker_connections=8), mgmt_call=Limits().mgmt_call / 100)
     told["a call that is not whole in time"] = recorded(
         ManagedScheduler(Server(), limits=late).call(b"GET /heal").encode()
     )
--- a/tests/project/test_pure_packages.py
+++ b/tests/project/test_pure_packages.py
@@ -23,7 +23,7 @@
     ("failure_detection",),
     ("item_table",),
     ("runtime",),
-    ("errors", "units"),
+    ("errors", "units", "version"),
 )
 # The lazily imported public names of the package itself.
 FACADE = "__init__"
--- a/tests/scheduler/test_client_gone.py
+++ b/tests/scheduler/test_client_gone.py
@@ -47,7 +47,7 @@
 def gone(world: World) -> None:
     """Until the scheduler has seen that nobody is there."""
     world.until(lambda: not world.listener.connections)
-    assert world.core.pending == 0
+    assert world.coordinator.pending == 0
 
 
 def another_is_served_alone(world: World) -> None:
@@ -71,7 +71,7 @@
     world = World(Server(), classes=PATIENT)
     world.list_targets(WorkerState.DRAINING)
     client = world.client(job() + more)
-    world.until(lambda: world.core.pending == 1)
+    world.until(lambda: world.coordinator.pending == 1)
     leaves(client)
     gone(world)
     another_is_served_alone(world)
@@ -97,12 +97,12 @@
     first = world.client(job(call_id="c1"))
     target = world.asked()  # its start is not told: nothing more is sent there
     client = world.client(job(call_id="c2"))
-    world.until(lambda: world.core.pending == 2)
+    world.until(lambda: world.coordinator.pending == 2)
     target.say(done("one", "c1"))
     leaves(client)  # both are seen in the next pass
     assert world.answer(first).endswith("one")
     gone_by = world.loop.passes + 50
-    world.until(lambda: world.loop.passes > gone_by and world.core.pending == 0)
+    world.until(lambda: world.loop.passes > gone_by and world.coordinator.pending == 0)
     assert world.servers[0].requests() == 1
 
 
@@ -149,10 +149,10 @@
 
     server = Server()
     server.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-    monkeypatch.setattr("canvasbeam.scheduler.forward.connect", narrow)
+    monkeypatch.setattr("canvasbeam.scheduler.attempt_sender.connect", narrow)
     world = World(server, allowed=replace(LIMITS, cancel=False))
     client = world.client(job().replace(b"Length: 4", b"Length: 60004").replace(b"BODY", b"x" * 60_000 + b"BODY"))
-    world.until(lambda: world.core.pending == 1)
+    world.until(lambda: world.coordinator.pending == 1)
     written = world.loop.passes + 50
     world.until(lambda: world.loop.passes > written)
     leaves(client)
@@ -170,7 +170,7 @@
     world.list_targets(WorkerState.DRAINING)
     target.close()
     world.servers[0].peers.clear()
-    world.until(lambda: not world.core.requests()[0].unfinished())
+    world.until(lambda: not world.coordinator.requests()[0].open_attempts())
     leaves(client)
     gone(world)
     another_is_served_alone(world)
@@ -181,7 +181,7 @@
     world = World(Server(), classes=PATIENT)
     world.list_targets(WorkerState.DRAINING)
     client = world.client(job())
-    world.until(lambda: world.core.pending == 1)
+    world.until(lambda: world.coordinator.pending == 1)
     world.listener.drain()
     leaves(client)
     gone(world)
--- a/tests/scheduler/test_list_told.py
+++ b/tests/scheduler/test_list_told.py
@@ -14,11 +14,11 @@
 
 from canvasbeam.dispatch.events import WorkerState
 from canvasbeam.dispatch.settings import Discovery, DispatchLimits, Rules
-from canvasbeam.scheduler import target_group
-from canvasbeam.scheduler.core import Core
+from canvasbeam.scheduler import worker_discovery
 from canvasbeam.scheduler.limits import ZERO, Limits, seconds
 from canvasbeam.scheduler.loop import Loop
-from canvasbeam.scheduler.target_group import TargetGroup
+from canvasbeam.scheduler.request_coordinator import RequestCoordinator
+from canvasbeam.scheduler.worker_discovery import WorkerDiscovery
 from tests.scheduler.test_net_loop import host, listing
 from tests.support.helpers import SECOND, settings
 from tests.support.loopback import Server, World
@@ -56,9 +56,9 @@
     )  # fmt: skip
     limits = Limits.of(drawn, 1024, 192)
     loop, server = Virtual(limits.slow_pass), Server()
-    core = Core(loop, drawn, limits, 1, timedelta(days=20_000))
+    coordinator = RequestCoordinator(loop, drawn, limits, 1, timedelta(days=20_000))
     known = {"seq": 1, "whole": True, "hosts": [host(f"s-{each}") for each in range(lines)]}
-    way, real = "", target_group.connect
+    way, real = "", worker_discovery.connect
 
     def connect(address: tuple[str, int]) -> socket.socket:
         if way == "refused":
@@ -69,8 +69,8 @@
 
     starts: list[timedelta] = []
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(target_group, "connect", connect)
-        group = TargetGroup(loop, core, limits, server.address, ZERO, whose=f"{lines} n{dispatchers}")
+        patch.setattr(worker_discovery, "connect", connect)
+        group = WorkerDiscovery(loop, coordinator, limits, server.address, ZERO, whose=f"{lines} n{dispatchers}")
         ask = group._ask
 
         def noted() -> None:
@@ -98,7 +98,7 @@
     assert max(gaps) + limits.list_answer <= seconds(6)
 
 
-def fail(group: TargetGroup, loop: Virtual, way: str, took: float, limits: Limits) -> None:
+def fail(group: WorkerDiscovery, loop: Virtual, way: str, took: float, limits: Limits) -> None:
     """Have the call that is out fail in this way, after so many seconds where it can."""
     connection = group._connection
     if connection is None:
@@ -149,7 +149,7 @@
     """Guards a drain told to nobody: the watch stood, and its connection had fallen silent."""
     discovery = Server()
     world = World()
-    group = TargetGroup(world.loop, world.core, world.limits, discovery.address, ZERO)
+    group = WorkerDiscovery(world.loop, world.coordinator, world.limits, discovery.address, ZERO)
     group.start({"seq": 1, "whole": True, "hosts": [host("s-0")]})
     world.until(lambda: any(b"from=1&" in each.got for each in discovery.look()))
     if after == "a rest":
@@ -164,33 +164,33 @@
         world.skip(0.05)
     world.until(lambda: b"from=" in discovery.peers[-1].look())
     discovery.peers[-1].say(listing(9, False, host("s-0", "Terminating")))
-    world.until(lambda: world.core.targets["s-0"].state is WorkerState.DRAINING)
+    world.until(lambda: world.coordinator.workers["s-0"].state is WorkerState.DRAINING)
     assert world.loop.now - began <= seconds(6)
 
 
 def test_a_reset_just_before_a_drain_is_told_by_the_next_watch() -> None:
     discovery = Server()
     world = World()
-    group = TargetGroup(world.loop, world.core, world.limits, discovery.address, ZERO)
+    group = WorkerDiscovery(world.loop, world.coordinator, world.limits, discovery.address, ZERO)
     group.start({"seq": 1, "whole": True, "hosts": [host("s-0")]})
     world.until(lambda: any(b"from=1&" in each.got for each in discovery.look()))
     discovery.peers[0].close()
     world.until(lambda: len(discovery.look()) == 2 and b"from=1&" in discovery.peers[1].got)
     discovery.peers[1].say(listing(2, False, host("s-0", "Terminating")))
-    world.until(lambda: world.core.targets["s-0"].state is WorkerState.DRAINING)
+    world.until(lambda: world.coordinator.workers["s-0"].state is WorkerState.DRAINING)
 
 
 def test_an_indented_list_is_read_and_answers_that_come_at_once_are_no_spin() -> None:
     discovery = Server()
     world = World()
-    group = TargetGroup(world.loop, world.core, world.limits, discovery.address, ZERO)
+    group = WorkerDiscovery(world.loop, world.coordinator, world.limits, discovery.address, ZERO)
     group.start({})
     world.until(lambda: discovery.look() and b"instances HTTP" in discovery.peers[0].got)
     body = b'{\n  "seq": 2,\n  "whole": true,\n  "hosts": [\n    {\n      "host": "s-7", "dial": "127.0.0.1:9",\n'
     body += b'      "site": "here", "class": "k", "block": 0, "health": "Ready", "share": 1.0, "born_ms": 0\n'
     body += b"    }\n  ]\n}\n"
     discovery.peers[0].say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-    world.until(lambda: set(world.core.targets) == {"s-7"})
+    world.until(lambda: set(world.coordinator.workers) == {"s-7"})
     world.until(lambda: b"from=2&" in discovery.peers[0].look())
     began, seen = world.loop.now, 2
     while world.loop.now - began < seconds(0.2):  # each watch is answered at once, with the same entry
@@ -206,7 +206,7 @@
     """Guards SIGHUP against each state of the call that is out: the new discovery is asked at once, for all."""
     old, new = Server(), Server()
     world = World()
-    group = TargetGroup(world.loop, world.core, world.limits, old.address, ZERO)
+    group = WorkerDiscovery(world.loop, world.coordinator, world.limits, old.address, ZERO)
     group.start({"seq": 1, "whole": True, "hosts": [host("s-0")]})
     world.until(lambda: any(b"from=1&" in each.got for each in old.look()))
     if moment == "fails":
@@ -217,7 +217,7 @@
         old.peers[0].say(listing(2, False, host("s-0", "Gone")))  # in the kernel as the signal is handled
     group.move(new.address)
     world.until(lambda: new.look() and b"instances HTTP" in new.peers[0].got)
-    assert set(world.core.targets) == {"s-0"}
+    assert set(world.coordinator.workers) == {"s-0"}
     new.peers[0].say(listing(1, True, host("s-0", "Terminating"), host("s-5")))
     world.until(lambda: b"from=1&" in new.peers[0].look())
-    assert world.core.targets["s-0"].state is WorkerState.DRAINING and "s-5" in world.core.targets
+    assert world.coordinator.workers["s-0"].state is WorkerState.DRAINING and "s-5" in world.coordinator.workers
--- a/tests/scheduler/test_net_forward.py
+++ b/tests/scheduler/test_net_forward.py
@@ -135,7 +135,7 @@
     """Guards the moment of the send: the target drains or the client leaves before the connection is up."""
     world = World(Server())
     client = world.client(job("pay"))
-    world.until(lambda: world.core.open_requests == 1)
+    world.until(lambda: world.coordinator.open_requests == 1)
     assert world.forwarder.connections == 1 and world.servers[0].requests() == 0
     if event == "drain":
         world.list_targets(WorkerState.DRAINING)
@@ -171,7 +171,7 @@
 
 
 def test_idle_connections_close_and_none_is_opened_past_the_limit() -> None:
-    limits = Limits(client_connections=8, target_connections=1, target_idle=timedelta(milliseconds=20))
+    limits = Limits(client_connections=8, worker_connections=1, worker_idle=timedelta(milliseconds=20))
     world = World(Server(), Server(), limits=limits)
     for number in range(2):
         client = world.client(job(call_id=f"c{number}"))
--- a/tests/scheduler/test_net_listener.py
+++ b/tests/scheduler/test_net_listener.py
@@ -294,10 +294,12 @@
     client = world.client(job())
     target = world.asked()
     arrived = next(each for each in seen if isinstance(each, RequestArrived))
-    request = next(iter(world.core.requests()))
+    request = next(iter(world.coordinator.requests()))
     assert request.deadline is not None and request.deadline.when < request.due
     # The module answers a quantum before the time it was told at the latest; one more for the loop.
-    latest = world.core.decisions.from_module(arrived.deadline_ns) - span_of(world.core.settings.quantum_ns)
+    latest = world.coordinator.decisions.from_dispatcher_time(arrived.deadline_ns) - span_of(
+        world.coordinator.settings.quantum_ns
+    )
     assert latest + timedelta(milliseconds=1) < request.deadline.when
     target.say(done("ok"))
     world.answer(client)
@@ -317,7 +319,7 @@
 
 def test_a_request_cut_at_any_byte_is_served_once_and_one_left_cut_is_told() -> None:
     data = job(call_id="c0")
-    world = World(Server(), limits=replace(Limits(client_connections=8, target_connections=8),
+    world = World(Server(), limits=replace(Limits(client_connections=8, worker_connections=8),
                                            client_request=Limits().client_request / 50))  # fmt: skip
     for cut in range(1, len(data)):
         call_id = f"c{cut}"
--- a/tests/scheduler/test_net_loop.py
+++ b/tests/scheduler/test_net_loop.py
@@ -18,7 +18,7 @@
 from canvasbeam.dispatch.settings import Discovery, DispatchLimits, Rules
 from canvasbeam.scheduler.limits import Limits, nanoseconds, span_of
 from canvasbeam.scheduler.loop import Loop, SlotTable
-from canvasbeam.scheduler.target_group import TargetGroup
+from canvasbeam.scheduler.worker_discovery import WorkerDiscovery
 from tests.scheduler.test_adapter import OPTIONS
 from tests.support.helpers import settings
 from tests.support.loopback import Peer, Server, World, done, job
@@ -71,24 +71,24 @@
 def test_the_watch_goes_on_and_what_a_whole_list_leaves_out_is_gone() -> None:
     discovery = Server()
     world = World()
-    group = TargetGroup(world.loop, world.core, world.limits, discovery.address, timedelta(0))
+    group = WorkerDiscovery(world.loop, world.coordinator, world.limits, discovery.address, timedelta(0))
     group.start({"seq": 1, "whole": True, "hosts": [host("s-0"), host("s-1")]})
-    assert set(world.core.targets) == {"s-0", "s-1"}  # the warm copy
+    assert set(world.coordinator.workers) == {"s-0", "s-1"}  # the warm copy
     # Only what changed since it: whole lists for all that start together are more than discovery can send.
     world.until(lambda: any(b"GET /registry/instances?from=1&" in each.got for each in discovery.look()))
     peer = discovery.peers[0]
     peer.say(listing(4, True, host("s-1"), host("s-2", born=1_700_000_000_000)))
     world.until(lambda: b"from=4&hold_ms=" in peer.look())
-    assert set(world.core.targets) == {"s-1", "s-2"}
-    started = world.core.targets["s-2"].started
+    assert set(world.coordinator.workers) == {"s-1", "s-2"}
+    started = world.coordinator.workers["s-2"].started
     peer.say(listing(5, False, host("s-1", "Terminating", "127.0.0.1:10"), host("s-9", "Gone")))
     world.until(lambda: b"from=5&hold_ms=" in peer.look())
-    assert world.core.targets["s-1"].state is WorkerState.DRAINING
-    assert world.core.targets["s-1"].address == ("127.0.0.1", 10)
+    assert world.coordinator.workers["s-1"].state is WorkerState.DRAINING
+    assert world.coordinator.workers["s-1"].address == ("127.0.0.1", 10)
     # The same start maps to the same time in every list, or a target would seem to start anew.
     peer.say(listing(6, False, host("s-2", born=1_700_000_000_000)))
     world.until(lambda: b"from=6&hold_ms=" in peer.look())
-    assert world.core.targets["s-2"].started == started
+    assert world.coordinator.workers["s-2"].started == started
     assert len(discovery.look()) == 1
 
 
@@ -96,7 +96,7 @@
     """The old process of discovery is gone without a word, and a new one on its address counts anew."""
     old = Server()
     world = World()
-    group = TargetGroup(world.loop, world.core, world.limits, old.address, timedelta(0))
+    group = WorkerDiscovery(world.loop, world.coordinator, world.limits, old.address, timedelta(0))
     group.start({"seq": 7, "whole": True, "hosts": [host("s-0"), host("s-1")]})
     world.until(lambda: any(b"from=7&" in each.got for each in old.look()))
     old.sock.close()  # the watch's connection stands, and nobody is behind it
@@ -104,25 +104,25 @@
     world.skip((world.limits.watch_hold + world.limits.watch_slack).total_seconds() + 0.1)
     world.skip(1)  # the pause after a failed call
     world.until(lambda: any(b"from=7&" in each.got for each in new.look()))
-    assert set(world.core.targets) == {"s-0", "s-1"}
+    assert set(world.coordinator.workers) == {"s-0", "s-1"}
     new.peers[0].say(listing(2, False))
     world.until(lambda: new.peers[0].look().count(b"GET ") == 2)
     assert new.peers[0].got.endswith(b"\r\n\r\n") and new.peers[0].got.count(b"from=") == 1
     new.peers[0].say(listing(2, True, host("s-1")))
-    world.until(lambda: set(world.core.targets) == {"s-1"})
+    world.until(lambda: set(world.coordinator.workers) == {"s-1"})
 
 
 def test_a_stuck_or_broken_watch_is_asked_again_and_the_list_stays() -> None:
     discovery = Server()
     limits = Limits(list_wait=5 * MS, watch_hold=5 * MS, watch_slack=5 * MS, watch_retry=MS)
     world = World(limits=limits)
-    group = TargetGroup(world.loop, world.core, limits, discovery.address, timedelta(0))
+    group = WorkerDiscovery(world.loop, world.coordinator, limits, discovery.address, timedelta(0))
     group.start({"seq": 1, "whole": True, "hosts": [host("s-0")]})
     world.until(lambda: len(discovery.look()) >= 2)  # silent: asked again on a new connection
     discovery.peers[-1].say(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]}")
     before = len(discovery.peers)
     world.until(lambda: len(discovery.look()) > before)
-    assert set(world.core.targets) == {"s-0"}
+    assert set(world.coordinator.workers) == {"s-0"}
 
 
 def test_many_schedulers_leave_a_failing_discovery_time_and_do_not_ask_together() -> None:
@@ -134,7 +134,7 @@
     )
     pauses: list[list[float]] = []
     for limits, whose in ((many, "1 n0"), (many, "1 n1"), (few, "1 n0")):
-        group = TargetGroup(world.loop, world.core, limits, discovery.address, timedelta(0), whose=whose)
+        group = WorkerDiscovery(world.loop, world.coordinator, limits, discovery.address, timedelta(0), whose=whose)
         group.start({})
         pauses.append([])
         for _ in range(12):
@@ -166,7 +166,9 @@
     firsts = []
     for number in range(40):
         world = World(limits=limits, discovery=asked, dispatchers=40, rules=rules)
-        group = TargetGroup(world.loop, world.core, limits, discovery.address, timedelta(0), whose=f"1 n{number}")
+        group = WorkerDiscovery(
+            world.loop, world.coordinator, limits, discovery.address, timedelta(0), whose=f"1 n{number}"
+        )
         group.start({"seq": 0, "whole": True, "hosts": [host(f"s-{each}") for each in range(20)]})
         assert group._connection is None
         assert group._wait is not None
@@ -181,7 +183,7 @@
     assert max(firsts) <= 4.5
     assert all(any(begin <= each < begin + 1.5 for each in firsts) for begin in (0, 1.5, 3))
     few = World(limits=limits, discovery=asked, dispatchers=4, rules=rules)
-    group = TargetGroup(few.loop, few.core, limits, discovery.address, timedelta(0))
+    group = WorkerDiscovery(few.loop, few.coordinator, limits, discovery.address, timedelta(0))
     group.start({"seq": 0, "whole": True, "hosts": [host("s-0")]})
     assert group._connection is not None
 
@@ -189,22 +191,22 @@
 def test_a_discovery_that_counts_anew_is_asked_for_the_whole_list() -> None:
     """Guards the list: changes of another count would be applied to a list that they do not belong to."""
     discovery, world = Server(), World()
-    group = TargetGroup(world.loop, world.core, world.limits, discovery.address, timedelta(0))
+    group = WorkerDiscovery(world.loop, world.coordinator, world.limits, discovery.address, timedelta(0))
     group.start({"seq": 41, "whole": True, "hosts": [host("s-0")]})
     world.until(lambda: discovery.look() and b"from=41&" in discovery.peers[0].got)
     discovery.peers[0].say(listing(2, False, host("s-0", "Gone")))
     world.until(lambda: b"GET /registry/instances HTTP" in discovery.peers[0].look())
-    assert set(world.core.targets) == {"s-0"}
+    assert set(world.coordinator.workers) == {"s-0"}
     discovery.peers[0].say(listing(2, True, host("s-1")))
     world.until(lambda: b"from=2&" in discovery.peers[0].look())
-    assert set(world.core.targets) == {"s-1"}
+    assert set(world.coordinator.workers) == {"s-1"}
 
 
 def test_discovery_that_moves_is_asked_for_the_whole_list_and_the_old_one_disturbs_no_more() -> None:
     """Guards the new watch: the old connection failed late and its failure was taken for the new one's."""
     old, new = Server(), Server()
     world = World()
-    group = TargetGroup(world.loop, world.core, world.limits, old.address, timedelta(0))
+    group = WorkerDiscovery(world.loop, world.coordinator, world.limits, old.address, timedelta(0))
     group.start({})
     world.until(lambda: old.look() and b"instances HTTP" in old.peers[0].got)
     old.peers[0].say(listing(7, True, host("s-0")))
@@ -212,14 +214,14 @@
     left = group._connection
     assert left is not None
     group.move(new.address)
-    assert set(world.core.targets) == {"s-0"}
+    assert set(world.coordinator.workers) == {"s-0"}
     world.until(lambda: new.look() and b"instances HTTP" in new.peers[0].got)  # whole, not from 7
     left.on_eof()
     group.answered(left, 200, b'{"seq":8,"whole":true,"hosts":[]}', True)
     world.until(lambda: old.peers[0].look() and old.peers[0].ended)
     new.peers[0].say(listing(2, True, host("s-1")))
     world.until(lambda: b"from=2&" in new.peers[0].look())
-    assert set(world.core.targets) == {"s-1"}
+    assert set(world.coordinator.workers) == {"s-1"}
     assert (len(old.look()), len(new.look())) == (1, 1)
 
 
@@ -227,12 +229,12 @@
     """Guards the list: one entry without a usable address had the whole of it thrown away, for ever."""
     discovery = Server()
     world = World()
-    TargetGroup(world.loop, world.core, world.limits, discovery.address, timedelta(0)).start({})
+    WorkerDiscovery(world.loop, world.coordinator, world.limits, discovery.address, timedelta(0)).start({})
     world.until(lambda: discovery.look() and b"instances HTTP" in discovery.peers[0].got)
     bad = [host("s-1", dial="no.name:9"), host("s-2", dial="127.0.0.1:x"), {**host("s-3"), "born_ms": "?"}]
     discovery.peers[0].say(listing(2, True, *bad, host("s-0")))
     world.until(lambda: b"from=2&" in discovery.peers[0].look())
-    assert set(world.core.targets) == {"s-0"}
+    assert set(world.coordinator.workers) == {"s-0"}
 
 
 def environment(tmp_path: Path, discovery: Server, **changes: Any) -> dict[str, str]:
--- a/tests/scheduler/test_planned_shutdown.py
+++ b/tests/scheduler/test_planned_shutdown.py
@@ -18,7 +18,7 @@
 from canvasbeam.runtime import planned_shutdown as shutdown
 from canvasbeam.runtime.planned_shutdown import Phase, PlannedShutdown, ShutdownTimes
 from canvasbeam.scheduler.limits import Limits
-from canvasbeam.scheduler.target_group import TargetGroup
+from canvasbeam.scheduler.worker_discovery import WorkerDiscovery
 from tests.scheduler.test_net_loop import host, listing
 from tests.scheduler.test_upgrade import Fleet, healthy
 from tests.scheduler.test_upgrade import job as fleet_job
@@ -177,7 +177,7 @@
     world = World(*servers)
     for name, span in learned.items():
         for _ in range(64):
-            world.core._shutdown.record_service_time(name, int(span * 1e9))
+            world.coordinator._shutdown.record_service_time(name, int(span * 1e9))
     return world
 
 
@@ -254,7 +254,7 @@
     world.step_clock(timedelta(microseconds=50))
     world.listener.drain()
     if early:
-        last_call = world.core._shutdown.phase_times()[1] / 1e9
+        last_call = world.coordinator._shutdown.phase_times()[1] / 1e9
         world.skip(last_call - early - world.loop.now.total_seconds())
     client.say(job("pay", call_id="c2", budget="6"))
     world.until(lambda: sum(each.requests() for each in world.servers) == 2)
@@ -268,7 +268,7 @@
 def test_a_job_that_never_ran_is_refused_at_the_last_answer() -> None:
     world = draining_world()  # no target at all: it is held
     client = world.client(job("pay", call_id="c1", budget="6"))
-    world.until(lambda: world.core.open_requests == 1)
+    world.until(lambda: world.coordinator.open_requests == 1)
     world.listener.drain()
     world.skip(3.5)
     assert world.answer(client).split()[1] == "503"
@@ -305,7 +305,7 @@
     names = [f"s-{place}" for place in range(2)]
     dials = [f"127.0.0.1:{server.address[1]}" for server in world.servers]
     hosts = [host(name, dial=dial) for name, dial in zip(names, dials, strict=True)]
-    group = TargetGroup(world.loop, world.core, world.limits, discovery.address, timedelta(0))
+    group = WorkerDiscovery(world.loop, world.coordinator, world.limits, discovery.address, timedelta(0))
     group.start({"seq": 1, "whole": True, "hosts": hosts})
     world.until(lambda: any(b"from=1&" in each.got for each in discovery.look()))  # the call is open
     client = world.client()
@@ -313,7 +313,7 @@
     world.listener.drain()
     if answers:
         discovery.peers[0].say(listing(2, False, host(names[0], "Terminating", dials[0])))
-        world.until(lambda: world.core.targets["s-0"].state is WorkerState.DRAINING)
+        world.until(lambda: world.coordinator.workers["s-0"].state is WorkerState.DRAINING)
     before = world.servers[0].requests()
     for number in range(2, 6):
         served(world, client, f"c{number}", number)
--- a/tests/scheduler/test_protocol_table.py
+++ b/tests/scheduler/test_protocol_table.py
@@ -43,13 +43,13 @@
     data, field, value, passed = TABLE[name]
     world = World(Server())
     told: list[Event] = []
-    handle = world.core.decisions.dispatcher.handle
+    handle = world.coordinator.decisions.dispatcher.handle
 
     def spy(now: int, events: list[Event]) -> list[Action]:
         told.extend(events)
         return handle(now, events)
 
-    monkeypatch.setattr(world.core.decisions.dispatcher, "handle", spy)
+    monkeypatch.setattr(world.coordinator.decisions.dispatcher, "handle", spy)
     client = world.client(data)
     peer = world.asked()
     assert not client.ended
--- a/tests/scheduler/test_restart.py
+++ b/tests/scheduler/test_restart.py
@@ -15,7 +15,7 @@
 
 from canvasbeam.dispatch.settings import Discovery, DispatchLimits
 from canvasbeam.scheduler.limits import ZERO, Limits, seconds
-from canvasbeam.scheduler.target_group import TargetGroup
+from canvasbeam.scheduler.worker_discovery import WorkerDiscovery
 from tests.scheduler.test_net_loop import host, listing
 from tests.scheduler.test_upgrade import Fleet, call, healthy
 from tests.scheduler.test_upgrade import job as fleet_job
@@ -73,7 +73,7 @@
     """Discovery's connection and its successor, both listening sockets, the staff's calls, the selector and so on."""
     for sockets in (64, 96, 512, 1024, 4096):
         limits = Limits.of(settings(), sockets, 192)
-        taken = limits.client_connections + limits.target_connections + limits.mgmt_connections
+        taken = limits.client_connections + limits.worker_connections + limits.mgmt_connections
         assert sockets - taken >= 20
 
 
@@ -85,13 +85,13 @@
     dead = Server()
     dead.sock.close()
     world = World(dead)
-    world.core.targets.clear()
-    group = TargetGroup(world.loop, world.core, world.limits, Server().address, ZERO)
-    world.core._told = False
+    world.coordinator.workers.clear()
+    group = WorkerDiscovery(world.loop, world.coordinator, world.limits, Server().address, ZERO)
+    world.coordinator._is_told = False
     group.start({"seq": 1, "whole": True, "hosts": [host("s-0", dial="{}:{}".format(*dead.address))]})
     assert ready(world)  # nothing is known against it
     client = world.client(job(budget="60"))
-    world.until(lambda: world.core.avoided() == 1)
+    world.until(lambda: world.coordinator.unavailable_workers() == 1)
     assert not ready(world)
     client.close()
 
@@ -100,8 +100,8 @@
     """Guards against nothing served because discovery is late."""
     target, silent = Server(), Server()
     world = World()
-    group = TargetGroup(world.loop, world.core, world.limits, silent.address, ZERO)
-    world.core._told = False
+    group = WorkerDiscovery(world.loop, world.coordinator, world.limits, silent.address, ZERO)
+    world.coordinator._is_told = False
     group.start({"seq": 1, "whole": True, "hosts": [host("s-0", dial="{}:{}".format(*target.address))]})
     assert ready(world)
     client = world.client(job())
@@ -121,7 +121,9 @@
     server = Server()
     for number in range(min(count, 40)):
         world = World(limits=limits, dispatchers=count, discovery=discovery)
-        group = TargetGroup(world.loop, world.core, limits, server.address, ZERO, whose=f"{number:x} n{number}")
+        group = WorkerDiscovery(
+            world.loop, world.coordinator, limits, server.address, ZERO, whose=f"{number:x} n{number}"
+        )
         group.start({})
         assert group._connection is not None  # at once
         group.answered(group._connection, 503, b"", True)
@@ -131,7 +133,7 @@
         world.until(lambda: any(b"instances HTTP" in each.got for each in server.look()))
         body = listing(3, True, host("s-0")).partition(b"\r\n\r\n")[2]
         group.answered(group._connection, 200, body, True)
-        assert world.core.can_serve()
+        assert world.coordinator.can_serve()
         world.loop.close()
     assert 2 * limits.list_gap <= seconds(10)
 
--- a/tests/scheduler/test_shutdown.py
+++ b/tests/scheduler/test_shutdown.py
@@ -39,7 +39,9 @@
     world = draining_world(Server(), look=1, book=1, pay=1)
     client = world.client(job(call_id="c1"))
     world.asked().say(done("r-c1", "c1"))
-    world.until(lambda: world.core.answers and not world.core.pending and world.core.open_requests == 0)
+    world.until(
+        lambda: world.coordinator.answers and not world.coordinator.pending and world.coordinator.open_requests == 0
+    )
     crossing, was = [job(call_id="c2")], Stream.discard
 
     def discard(self: Stream, size: int) -> None:
@@ -67,7 +69,7 @@
     world = World(Server())
     client = world.client(job(call_id="c1"))
     world.asked().say(done("r-c1", "c1"))
-    world.until(lambda: world.core.open_requests == 0 and not world.core.pending)
+    world.until(lambda: world.coordinator.open_requests == 0 and not world.coordinator.pending)
     quiet = Stream.is_quiet
 
     def is_quiet(self: Stream) -> bool:
@@ -90,7 +92,7 @@
     world = draining_world(Server(), look=1, book=1, pay=1)
     most = world.limits.client_connections
     busy = [world.client(job(call_id=f"b{number}")) for number in range(most)]
-    world.until(lambda: world.core.pending == most)
+    world.until(lambda: world.coordinator.pending == most)
     world.listener.drain()
     crowd = [world.client(job(call_id=f"c{number}")) for number in range(5)]
     world.skip(0.7)
@@ -201,7 +203,7 @@
 def test_a_target_listed_as_draining_after_the_signal_gets_nothing_new() -> None:
     world = draining_world(Server(), look=1, book=1, pay=1)
     world.listener.drain()
-    world.core.listed(ListKind.CHANGES, [world.target(0, WorkerState.DRAINING)], 2)
+    world.coordinator.listed(ListKind.CHANGES, [world.target(0, WorkerState.DRAINING)], 2)
     client = world.client(job(call_id="c1"))
     assert world.answer(client).split()[1] == "503"
     assert world.servers[0].requests() == 0
--- a/tests/scheduler/test_target_crossings.py
+++ b/tests/scheduler/test_target_crossings.py
@@ -55,10 +55,10 @@
     first = first_of(world)
     first.peers[0].say(done("ok", "a1"))
     world.answer(client)
-    world.core.listed(ListKind.COMPLETE, [world.target(world.servers.index(first))], 2)  # it alone is there
+    world.coordinator.listed(ListKind.COMPLETE, [world.target(world.servers.index(first))], 2)  # it alone is there
     client = world.client(job(name, call_id="b1"))
     both_asked(world, 2)
-    world.core.listed(ListKind.COMPLETE, [world.target(0), world.target(1)], 3)
+    world.coordinator.listed(ListKind.COMPLETE, [world.target(0), world.target(1)], 3)
     peer = next(each for each in first.look() if b"b1" in each.got)
     first.peers[0].say(late)  # on the connection of its own request, whoever has that now
     peer.say(HEAD + chunk(line("started", "b1")))
@@ -140,14 +140,14 @@
         weights=Weights.LIVE,
     )  # fmt: skip
     world.forwarder.report_names = {"x0": "free_slots"}
-    dispatcher = world.core.decisions.dispatcher
+    dispatcher = world.coordinator.decisions.dispatcher
     client = world.client(job())
     said = '{"id":"c1","state":"done","result":"ok","load":' + load + "}\n"
     world.asked().say(HEAD + chunk(said.encode()) + END)
     assert world.answer(client).endswith("ok")
     world.settle()
     world.loop.one_pass()
-    assert world.core.decisions.dispatcher is dispatcher  # an exception would have had it made anew
+    assert world.coordinator.decisions.dispatcher is dispatcher  # an exception would have had it made anew
     assert read_report(json.loads(load), {}) is None
 
 
@@ -210,14 +210,14 @@
     limits = Limits(connect=timedelta(milliseconds=100))
     world = World(well, limits=limits)
     late = replace(world.target(0), name="s-late", address=full.getsockname())
-    world.core.listed(ListKind.COMPLETE, [late], 2)
+    world.coordinator.listed(ListKind.COMPLETE, [late], 2)
     client = world.client(job(name))
     world.until(lambda: world.forwarder.opened == 1)
-    world.core.listed(ListKind.COMPLETE, [late, world.target(0)], 3)
+    world.coordinator.listed(ListKind.COMPLETE, [late, world.target(0)], 3)
     world.until(lambda: well.requests() == 1)
     well.peers[0].say(done("ok"))
     assert world.answer(client).endswith("ok")
-    assert world.core.ended[Outcome.CONNECT_FAILED] >= 1
+    assert world.coordinator.ended[Outcome.CONNECT_FAILED] >= 1
     for each in (*fillers, full):
         each.close()
 
@@ -258,7 +258,7 @@
     first.peers[0].say(HEAD + chunk(line("started")))
     both_asked(world, 2)
     if not may_copy:
-        assert len(world.core.requests()[0].unfinished()) == 1
+        assert len(world.coordinator.requests()[0].open_attempts()) == 1
         assert first.peers[0].look() and first.peers[0].ended
     for server in world.servers:
         for peer in server.look():
--- a/tests/scheduler/test_upgrade.py
+++ b/tests/scheduler/test_upgrade.py
@@ -28,7 +28,7 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.discovery = Server()
-        self.targets = [Server(), Server()]
+        self.workers = [Server(), Server()]
         self.answered: dict[int, int] = {}  # by discovery's peer: calls answered
         self.served: dict[str, int] = {}  # call ids by the target that served them
         self.listen = ("127.0.0.1", free_port())
@@ -64,7 +64,7 @@
         """Discovery answers each first call with the whole list and holds every watch; targets serve at once."""
         hosts = [
             {"host": f"s-{place}", "dial": "{}:{}".format(*each.address), "site": "rennes-nord", "health": "Ready"}
-            for place, each in enumerate(self.targets)
+            for place, each in enumerate(self.workers)
         ]
         body = json.dumps({"seq": 1, "whole": True, "hosts": hosts}).encode()
         for peer in self.discovery.look():
@@ -73,7 +73,7 @@
                 self.answered[id(peer)] = 1
                 head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n".encode()
                 peer.say(head + body)
-        for place, target in enumerate(self.targets):
+        for place, target in enumerate(self.workers):
             for peer in target.look():
                 for call_id in re.findall(rb"X-Call-Id: (j[0-9]+)", peer.got):
                     name = call_id.decode()
@@ -88,8 +88,8 @@
             if condition():
                 return
             waiting = select.poll()
-            socks = [self.discovery.sock, *[each.sock for each in self.targets]]
-            socks += [peer.sock for each in (self.discovery, *self.targets) for peer in each.peers if not peer.ended]
+            socks = [self.discovery.sock, *[each.sock for each in self.workers]]
+            socks += [peer.sock for each in (self.discovery, *self.workers) for peer in each.peers if not peer.ended]
             for sock in socks:
                 waiting.register(sock, select.POLLIN)
             waiting.poll(10)
--- a/tests/simulator/test_lab_model.py
+++ b/tests/simulator/test_lab_model.py
@@ -189,7 +189,7 @@
             self.offered += 1
 
     @rule(pick=st.integers(0, 50))
-    def withdraw(self, pick: int) -> None:
+    def cancel_attempt(self, pick: int) -> None:
         if self.offered:
             self.gone.add(pick % self.offered)
             self.stand.give(worker_messages.Withdrawn(pick % self.offered))
--- a/tests/simulator/test_lab_sim.py
+++ b/tests/simulator/test_lab_sim.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 
-from canvasbeam.scheduler.core import Core
+from canvasbeam.scheduler.request_coordinator import RequestCoordinator
 from canvasbeam.scheduler.requests import Request
 from canvasbeam.simulator import engine_sim, scenario
 from canvasbeam.simulator.model.request_log import End, Ledger, What
@@ -61,7 +61,9 @@
         (lab.FloodsColdWorkers, [{**CRASH, "for_s": 1, "part": 0.5}], "cold", "tipped over"),
     ],
 )
-def test_a_broken_scheduler_is_caught(kind: type[Core], faults: list[dict[str, Any]], rule: str, text: str) -> None:
+def test_a_broken_scheduler_is_caught(
+    kind: type[RequestCoordinator], faults: list[dict[str, Any]], rule: str, text: str
+) -> None:
     # Long enough that each breaks its rule many times over, not once by luck.
     changes: dict[str, Any] = {"length_s": 12, "traffic.load": 1.4 if rule == "cold" else 0.9, "classes.2.share": 0.6}
     if "window" in text:
@@ -150,7 +152,7 @@
 def test_a_simulated_scheduler_goes_through_its_planned_end_and_answers_all_before_the_kill() -> None:
     told: list[str] = []
 
-    class Watched(Core):
+    class Watched(RequestCoordinator):
         def submit(self, request: Request) -> None:
             told.append(self.phase.name)
             super().submit(request)
--- a/tests/support/lab.py
+++ b/tests/support/lab.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from typing import Any
 
-from canvasbeam.scheduler.core import Core
+from canvasbeam.scheduler.request_coordinator import RequestCoordinator
 from canvasbeam.scheduler.requests import Answer, FinalAnswer, Request
 from canvasbeam.simulator import scenario as scenarios
 from canvasbeam.simulator.model import spec
@@ -22,7 +22,7 @@
     return scenarios.load("rennes", keys)
 
 
-class AnswersTwice(Core):
+class AnswersTwice(RequestCoordinator):
     """Gives each answer twice."""
 
     def _answer(self, request: Request, answer: FinalAnswer) -> None:
@@ -30,7 +30,7 @@
         request.answer(answer)
 
 
-class SwallowsAnswers(Core):
+class SwallowsAnswers(RequestCoordinator):
     """Forgets every tenth request it fails or serves."""
 
     def _answer(self, request: Request, answer: FinalAnswer) -> None:
@@ -39,7 +39,7 @@
         super()._answer(request, answer)
 
 
-class AnswersLate(Core):
+class AnswersLate(RequestCoordinator):
     """Keeps some answers back until their time is over."""
 
     def _answer(self, request: Request, answer: FinalAnswer) -> None:
@@ -53,7 +53,7 @@
         super()._answer(request, answer)
 
 
-class MakesUpResults(Core):
+class MakesUpResults(RequestCoordinator):
     """Serves what no worker made."""
 
     def _answer(self, request: Request, answer: FinalAnswer) -> None:
@@ -61,7 +61,7 @@
         super()._answer(request, FinalAnswer(Answer.SERVED, b"made up") if made_up else answer)
 
 
-class RunsTwice(Core):
+class RunsTwice(RequestCoordinator):
     """Sends again whatever has failed, and checks nothing."""
 
     def __init__(self, *args: Any) -> None:
@@ -75,7 +75,7 @@
         return not attempt.request.answered and attempt.outcome is None
 
 
-class IgnoresDrains(Core):
+class IgnoresDrains(RequestCoordinator):
     """Goes on sending to workers that drain."""
 
     def __init__(self, *args: Any) -> None:
@@ -83,10 +83,10 @@
         self.decisions.dispatcher = planted_faults.IgnoresDrains(self.settings, 1)
 
     def _is_live(self, name: str) -> bool:
-        return name in self.targets
+        return name in self.workers
 
 
-class RefusesAnything(Core):
+class RefusesAnything(RequestCoordinator):
     """Says that a repeat is harmless where it is not."""
 
     def _end(self, request: Request, kind: Answer, *args: Any, **kwargs: Any) -> None:
@@ -96,7 +96,7 @@
         return True
 
 
-class FloodsColdWorkers(Core):
+class FloodsColdWorkers(RequestCoordinator):
     """Knows no busy worker and no cold one."""
 
     def __init__(self, *args: Any) -> None:
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -12,12 +12,12 @@
 
 from canvasbeam.dispatch.events import ListKind, WorkerState
 from canvasbeam.dispatch.settings import DispatchLimits
-from canvasbeam.scheduler.core import Core
-from canvasbeam.scheduler.forward import Forwarder
+from canvasbeam.scheduler.attempt_sender import AttemptSender
 from canvasbeam.scheduler.limits import ZERO, Limits
 from canvasbeam.scheduler.listener import Listener
 from canvasbeam.scheduler.loop import Loop
-from canvasbeam.scheduler.target_table import Target
+from canvasbeam.scheduler.request_coordinator import RequestCoordinator
+from canvasbeam.scheduler.worker_table import ListedWorker
 from tests.support.helpers import settings
 
 PASSES = 20_000  # a story that takes more hangs
@@ -97,15 +97,15 @@
     return HEAD + chunk(line("done", call_id, result=result)) + END
 
 
-def job(job_class: str = "look", call_id: str = "c1", budget: str = "4.0", extra: str = "") -> bytes:
+def job(request_class: str = "look", call_id: str = "c1", budget: str = "4.0", extra: str = "") -> bytes:
     return (
         f"POST /api?sid=k1&x=%20y HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: {call_id}\r\n"
-        f"X-Call-Class: {job_class}\r\nX-Budget: {budget}\r\n{extra}Content-Length: 4\r\n\r\nBODY"
+        f"X-Call-Class: {request_class}\r\nX-Budget: {budget}\r\n{extra}Content-Length: 4\r\n\r\nBODY"
     ).encode()
 
 
 class World:
-    """Loop, core, listener and forwarder, wired as the program wires them."""
+    """Loop, coordinator, listener and sender, wired as the program wires them."""
 
     def __init__(
         self, *servers: Server, limits: Limits | None = None, allowed: DispatchLimits | None = None, **changes: Any
@@ -113,17 +113,17 @@
         """`limits` are the program's own, `allowed` the settings'; `changes` are other settings."""
         if allowed is not None:
             changes["limits"] = allowed
-        base = {"client_connections": 8, "target_connections": 8, "retry_after": timedelta(seconds=2)}
+        base = {"client_connections": 8, "worker_connections": 8, "retry_after": timedelta(seconds=2)}
         self.limits = limits or Limits(**base)  # type: ignore[arg-type]
         self.loop = Loop(self.limits.slow_pass)
         self.loop.read_clock()
         born = timedelta(days=20_000)
-        self.core = Core(self.loop, settings(**changes), self.limits, 1, born)
-        self.forwarder = Forwarder(self.loop, self.core, self.limits, REPORT_NAMES)
-        self.core.carrier = self.forwarder
-        self.listener = Listener.bind(self.loop, self.core, self.limits, ("127.0.0.1", 0))
+        self.coordinator = RequestCoordinator(self.loop, settings(**changes), self.limits, 1, born)
+        self.forwarder = AttemptSender(self.loop, self.coordinator, self.limits, REPORT_NAMES)
+        self.coordinator.transport = self.forwarder
+        self.listener = Listener.bind(self.loop, self.coordinator, self.limits, ("127.0.0.1", 0))
         self.address: tuple[str, int] = self.listener.sock.getsockname()
-        self.loop.end_of_pass = self.core.end_of_pass
+        self.loop.end_of_pass = self.coordinator.end_of_pass
         self.servers = servers
         self.list_targets()
         self._tick()
@@ -132,12 +132,12 @@
         """Keeps passes coming, so that a story's condition is looked at."""
         self.loop.after(timedelta(milliseconds=1), self._tick)
 
-    def target(self, place: int, state: WorkerState = WorkerState.LIVE) -> Target:
-        return Target(f"s-{place}", self.servers[place].address, "here", "k", 0, state, 1.0, None)
+    def target(self, place: int, state: WorkerState = WorkerState.LIVE) -> ListedWorker:
+        return ListedWorker(f"s-{place}", self.servers[place].address, "here", "k", 0, state, 1.0, None)
 
     def list_targets(self, state: WorkerState = WorkerState.LIVE) -> None:
         targets = [self.target(place, state) for place in range(len(self.servers))]
-        self.core.listed(ListKind.COMPLETE, targets, 1)
+        self.coordinator.listed(ListKind.COMPLETE, targets, 1)
 
     def until(self, condition: Callable[[], object]) -> None:
         """Pass after pass until it holds."""
@@ -183,7 +183,7 @@
 
     def settle(self) -> None:
         """Until nothing is open: what could still have been sent has been."""
-        self.until(lambda: self.core.open_requests == 0)
+        self.until(lambda: self.coordinator.open_requests == 0)
 
 
 def complete(data: bytes) -> int:
--- a/tests/support/managed_scheduler.py
+++ b/tests/support/managed_scheduler.py
@@ -16,7 +16,7 @@
 
     def __init__(self, *servers: Server, limits: Limits | None = None, handover: Handover | None = None) -> None:
         super().__init__(*servers, limits=limits)
-        self.operations = SchedulerOperations(self.core, self.listener, handover)
+        self.operations = SchedulerOperations(self.coordinator, self.listener, handover)
         self.mgmt = ManagementListener.bind(self.loop, self.limits, self.operations, ("127.0.0.1", 0))
         self.mgmt_address: tuple[str, int] = self.mgmt.sock.getsockname()
 
