--- a/tests/scheduler/test_net_forward.py
+++ b/tests/scheduler/test_net_forward.py
@@ -25,7 +25,7 @@
     lines = head.split(b"\r\n")
     assert lines[0] == b"POST /api?sid=k1&x=%20y HTTP/1.1"
     assert {b"X-Call-Id: c1", b"Idempotency-Key: i9", b"Content-Length: 4"} <= set(lines)
-    budgets = [float(each.split(b": ")[1]) for each in lines if each.lower().startswith(b"x-budget")]
+    budgets = [float(line.split(b": ")[1]) for line in lines if line.lower().startswith(b"x-budget")]
     assert len(budgets) == 1 and 0 < budgets[0] <= 4.0
     assert body == b"BODY"
     target.say(done("ré\u00e9sult \u2713"))
@@ -100,14 +100,14 @@
 def test_what_may_have_run_is_not_sent_again_and_not_called_harmless(name: str) -> None:
     world = World(Server(), Server())
     client = world.client(job("pay"))
-    world.until(lambda: sum(each.requests() for each in world.servers) == 1)
-    target = next(each.peers[0] for each in world.servers if each.peers)
+    world.until(lambda: sum(server.requests() for server in world.servers) == 1)
+    target = next(server.peers[0] for server in world.servers if server.peers)
     target.say(BROKEN[name])
     if not BROKEN[name]:
         target.close()
     assert world.answer(client).split()[1] in ("500", "504")
     world.settle()
-    assert sum(each.requests() for each in world.servers) <= 1
+    assert sum(server.requests() for server in world.servers) <= 1
 
 
 @pytest.mark.parametrize(
@@ -121,9 +121,9 @@
 def test_a_job_handed_back_unstarted_goes_to_the_other_target(said: bytes) -> None:
     world = World(Server(), Server())
     client = world.client(job("pay"))
-    world.until(lambda: sum(each.requests() for each in world.servers) == 1)
-    first = next(each for each in world.servers if each.peers)
-    other = next(each for each in world.servers if each is not first)
+    world.until(lambda: sum(server.requests() for server in world.servers) == 1)
+    first = next(server for server in world.servers if server.peers)
+    other = next(server for server in world.servers if server is not first)
     first.peers[0].say(said)
     world.until(lambda: other.requests() == 1)
     other.peers[0].say(done("ok"))
@@ -196,10 +196,10 @@
     limits = Limits(proof=timedelta(seconds=1), longest_proof=timedelta(milliseconds=50))
     world = World(Server(), Server(), limits=limits)
     client = world.client(job("pay"))
-    world.until(lambda: any(b"BOD" in each.got for s in world.servers for each in s.look()))
-    first = next(each for each in world.servers if each.peers)
+    world.until(lambda: any(b"BOD" in received.got for s in world.servers for received in s.look()))
+    first = next(server for server in world.servers if server.peers)
     assert first.requests() == 0  # its last byte waits
-    other = next(each for each in world.servers if each is not first)
+    other = next(server for server in world.servers if server is not first)
     first.peers[0].close()
     world.until(lambda: other.requests() == 1)
     other.peers[0].say(done("ok"))
@@ -225,7 +225,7 @@
     world.answer(client)
     client = world.client(job("pay", call_id="c"))
     world.until(lambda: server.requests() == 2)
-    assert [each.got.count(b"BODY") for each in server.peers] == [1, 1]
+    assert [peer.got.count(b"BODY") for peer in server.peers] == [1, 1]
     server.peers[1].say(done("ok", "c"))
     assert world.answer(client).endswith("ok")
 
@@ -253,7 +253,7 @@
     world = World(Server())
     client = world.client(job())
     target = world.asked()
-    [connection] = [each for each in world.loop.endpoints.items() if isinstance(each, AttemptConnection)]
+    [connection] = [endpoint for endpoint in world.loop.endpoints.items() if isinstance(endpoint, AttemptConnection)]
     assert QUICKACK is not None
     # As the kernel leaves a connection that has asked and is answered: acknowledgements wait for data to go with.
     connection.sock.setsockopt(socket.IPPROTO_TCP, QUICKACK, 0)
--- a/tests/scheduler/test_net_listener.py
+++ b/tests/scheduler/test_net_listener.py
@@ -143,10 +143,10 @@
 def test_bodies_of_all_clients_together_are_bounded() -> None:
     world = World(Server(), limits=Limits(bodies=10))
     clients = [world.client(job(call_id=f"c{number}")) for number in range(3)]
-    world.until(lambda: any(b" 503 " in each.look() for each in clients))
-    assert sum(bool(each.look()) for each in clients) == 1
-    for each in clients:
-        each.close()
+    world.until(lambda: any(b" 503 " in client.look() for client in clients))
+    assert sum(bool(client.look()) for client in clients) == 1
+    for client in clients:
+        client.close()
     world.settle()
     assert world.listener.bodies == 0
 
@@ -228,7 +228,7 @@
     client = world.client(job())
     world.asked().say(done("ok"))
     assert world.answer(client).endswith("ok")
-    world.until(lambda: [each.look() for each in idle] and any(each.ended for each in idle))
+    world.until(lambda: [connection.look() for connection in idle] and any(connection.ended for connection in idle))
 
 
 def test_with_every_connection_busy_newcomers_wait_and_are_served() -> None:
@@ -351,8 +351,8 @@
     world.until(lambda: idle.look() is not None and idle.ended)
     writer.say(whole[40:])
     for call_id in ("c2", "c3"):
-        world.until(lambda: call_id.encode() in b"".join(each.got for each in world.servers[0].look()))  # noqa: B023
-        peer = next(each for each in world.servers[0].peers if f"X-Call-Id: {call_id}".encode() in each.got)
+        world.until(lambda: call_id.encode() in b"".join(received.got for received in world.servers[0].look()))  # noqa: B023
+        peer = next(peer for peer in world.servers[0].peers if f"X-Call-Id: {call_id}".encode() in peer.got)
         peer.say(done(f"r-{call_id}", call_id))
     assert world.answer(writer).endswith("r-c2")
     assert world.answer(newcomer).endswith("r-c3")
--- a/tests/scheduler/test_net_loop.py
+++ b/tests/scheduler/test_net_loop.py
@@ -75,7 +75,7 @@
     group.start({"seq": 1, "whole": True, "hosts": [host("s-0"), host("s-1")]})
     assert set(world.coordinator.workers) == {"s-0", "s-1"}  # the warm copy
     # Only what changed since it: whole lists for all that start together are more than discovery can send.
-    world.until(lambda: any(b"GET /registry/instances?from=1&" in each.got for each in discovery.look()))
+    world.until(lambda: any(b"GET /registry/instances?from=1&" in received.got for received in discovery.look()))
     peer = discovery.peers[0]
     peer.say(listing(4, True, host("s-1"), host("s-2", born=1_700_000_000_000)))
     world.until(lambda: b"from=4&hold_ms=" in peer.look())
@@ -98,12 +98,12 @@
     world = World()
     group = WorkerDiscovery(world.loop, world.coordinator, world.limits, old.address, timedelta(0))
     group.start({"seq": 7, "whole": True, "hosts": [host("s-0"), host("s-1")]})
-    world.until(lambda: any(b"from=7&" in each.got for each in old.look()))
+    world.until(lambda: any(b"from=7&" in received.got for received in old.look()))
     old.sock.close()  # the watch's connection stands, and nobody is behind it
     new = Server(old.address)
     world.skip((world.limits.watch_hold + world.limits.watch_slack).total_seconds() + 0.1)
     world.skip(1)  # the pause after a failed call
-    world.until(lambda: any(b"from=7&" in each.got for each in new.look()))
+    world.until(lambda: any(b"from=7&" in received.got for received in new.look()))
     assert set(world.coordinator.workers) == {"s-0", "s-1"}
     new.peers[0].say(listing(2, False))
     world.until(lambda: new.peers[0].look().count(b"GET ") == 2)
@@ -152,9 +152,9 @@
         assert group._wait.when - world.loop.now <= limits.watch_retry  # it had recovered
         group.move(discovery.address)
         world.loop.cancel(group._wait)
-    assert all(0.05 <= each[0] <= 0.1 for each in pauses)
-    assert all(2 <= each <= 4 for each in pauses[0][-4:] + pauses[1][-4:])
-    assert all(each <= 0.5 for each in pauses[2])
+    assert all(0.05 <= pause[0] <= 0.1 for pause in pauses)
+    assert all(2 <= pause <= 4 for pause in pauses[0][-4:] + pauses[1][-4:])
+    assert all(pause <= 0.5 for pause in pauses[2])
     assert pauses[0] != pauses[1]
 
 
@@ -169,7 +169,7 @@
         group = WorkerDiscovery(
             world.loop, world.coordinator, limits, discovery.address, timedelta(0), whose=f"1 n{number}"
         )
-        group.start({"seq": 0, "whole": True, "hosts": [host(f"s-{each}") for each in range(20)]})
+        group.start({"seq": 0, "whole": True, "hosts": [host(f"s-{number}") for number in range(20)]})
         assert group._connection is None
         assert group._wait is not None
         firsts.append((group._wait.when - world.loop.now).total_seconds())
@@ -181,7 +181,7 @@
         world.loop.close()
     # Over 8 s, but sooner than the rules' time, after which a scheduler counts as told.
     assert max(firsts) <= 4.5
-    assert all(any(begin <= each < begin + 1.5 for each in firsts) for begin in (0, 1.5, 3))
+    assert all(any(begin <= first < begin + 1.5 for first in firsts) for begin in (0, 1.5, 3))
     few = World(limits=limits, discovery=asked, dispatchers=4, rules=rules)
     group = WorkerDiscovery(few.loop, few.coordinator, limits, discovery.address, timedelta(0))
     group.start({"seq": 0, "whole": True, "hosts": [host("s-0")]})
--- a/tests/scheduler/test_planned_shutdown.py
+++ b/tests/scheduler/test_planned_shutdown.py
@@ -135,7 +135,7 @@
 
     def phase(self, now: int) -> Phase:
         if self._begun is not None:
-            least = min(self._service_time(each) for each in self._samples.values())
+            least = min(self._service_time(sample) for sample in self._samples.values())
             self._last_call = max(self.times.window, self.times.last_answer - least)
         return super().phase(now)
 
@@ -183,9 +183,9 @@
 
 def served(world: World, client: Peer, call_id: str, times: int = 1) -> str:
     """Have the newest request served; the answer to it, which is the client's so many-th."""
-    before = sum(each.requests() for each in world.servers)
+    before = sum(server.requests() for server in world.servers)
     client.say(job(call_id=call_id))
-    world.until(lambda: sum(each.requests() for each in world.servers) > before)
+    world.until(lambda: sum(server.requests() for server in world.servers) > before)
     for server in world.servers:
         for peer in server.peers:
             if call_id.encode() in peer.look():
@@ -216,7 +216,7 @@
     idle = world.client()
     served(world, idle, "c1")
     busy = world.client(job("pay", call_id="c2"))
-    world.until(lambda: sum(each.requests() for each in world.servers) == 2)
+    world.until(lambda: sum(server.requests() for server in world.servers) == 2)
     assert world.listener.drain()
     assert not world.listener.drain()  # a second signal neither begins the end anew nor hurries it
     world.skip(0.7)
@@ -231,7 +231,7 @@
             if b"c2" in peer.look():
                 peer.say(done("kept", "c2"))
     assert "Connection: close" in world.answer(busy)
-    assert sum(each.requests() for each in world.servers) == 2
+    assert sum(server.requests() for server in world.servers) == 2
 
 
 def test_a_class_that_takes_longer_is_refused_while_a_shorter_one_is_still_taken() -> None:
@@ -257,12 +257,12 @@
         last_call = world.coordinator._shutdown.phase_times()[1] / 1e9
         world.skip(last_call - early - world.loop.now.total_seconds())
     client.say(job("pay", call_id="c2", budget="6"))
-    world.until(lambda: sum(each.requests() for each in world.servers) == 2)
+    world.until(lambda: sum(server.requests() for server in world.servers) == 2)
     world.skip(3.5)
     answer = world.answer(client, 2).partition("r-c1")[2]
     assert answer.split()[1] == "504" and "Connection: close" in answer
     world.settle()
-    assert sum(each.requests() for each in world.servers) == 2
+    assert sum(server.requests() for server in world.servers) == 2
 
 
 def test_a_job_that_never_ran_is_refused_at_the_last_answer() -> None:
@@ -307,7 +307,7 @@
     hosts = [host(name, dial=dial) for name, dial in zip(names, dials, strict=True)]
     group = WorkerDiscovery(world.loop, world.coordinator, world.limits, discovery.address, timedelta(0))
     group.start({"seq": 1, "whole": True, "hosts": hosts})
-    world.until(lambda: any(b"from=1&" in each.got for each in discovery.look()))  # the call is open
+    world.until(lambda: any(b"from=1&" in received.got for received in discovery.look()))  # the call is open
     client = world.client()
     served(world, client, "c1")
     world.listener.drain()
--- a/tests/scheduler/test_protocol_table.py
+++ b/tests/scheduler/test_protocol_table.py
@@ -53,7 +53,7 @@
     client = world.client(data)
     peer = world.asked()
     assert not client.ended
-    arrived = [each for each in told if isinstance(each, RequestArrived)]
+    arrived = [item for item in told if isinstance(item, RequestArrived)]
     assert len(arrived) == 1
     if field == "job":
         assert arrived[0].request_id.isdigit()  # a name of the program's own
--- a/tests/scheduler/test_restart.py
+++ b/tests/scheduler/test_restart.py
@@ -130,7 +130,7 @@
         assert group._wait is not None and group._wait.when - world.loop.now <= limits.list_gap
         group._ask()
         assert group._connection is not None
-        world.until(lambda: any(b"instances HTTP" in each.got for each in server.look()))
+        world.until(lambda: any(b"instances HTTP" in received.got for received in server.look()))
         body = listing(3, True, host("s-0")).partition(b"\r\n\r\n")[2]
         group.answered(group._connection, 200, body, True)
         assert world.coordinator.can_serve()
--- a/tests/scheduler/test_shutdown.py
+++ b/tests/scheduler/test_shutdown.py
@@ -111,10 +111,10 @@
         for client in busy:
             if client.look() and not client.ended:
                 client.close()
-        return all(b"HTTP/1.1" in each.look() for each in crowd)
+        return all(b"HTTP/1.1" in dispatcher.look() for dispatcher in crowd)
 
     world.until(serve)
-    assert all(each.got.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) for each in crowd)
+    assert all(dispatcher.got.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) for dispatcher in crowd)
     world.until(lambda: world.listener.closed)
 
 
@@ -146,9 +146,9 @@
     world = World(Server())
     client = world.client(job())
     world.asked()
-    streams = [each for each in world.loop.endpoints.items() if isinstance(each, Stream)]
+    streams = [endpoint for endpoint in world.loop.endpoints.items() if isinstance(endpoint, Stream)]
     assert len(streams) == 2  # a client's and a target's
-    assert all(each.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for each in streams)
+    assert all(stream.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for stream in streams)
     client.close()
 
 
--- a/tests/scheduler/test_target_crossings.py
+++ b/tests/scheduler/test_target_crossings.py
@@ -22,13 +22,13 @@
 
 def both_asked(world: World, times: int) -> int:
     """Until the targets together got so many whole requests; how many each has."""
-    world.until(lambda: sum(each.requests() for each in world.servers) >= times)
-    return sum(each.requests() for each in world.servers)
+    world.until(lambda: sum(server.requests() for server in world.servers) >= times)
+    return sum(server.requests() for server in world.servers)
 
 
 def first_of(world: World) -> Server:
     both_asked(world, 1)
-    return next(each for each in world.servers if each.peers)
+    return next(server for server in world.servers if server.peers)
 
 
 def served_once(world: World, number: int, job_class: str = "look") -> Peer:
@@ -59,10 +59,10 @@
     client = world.client(job(name, call_id="b1"))
     both_asked(world, 2)
     world.coordinator.listed(ListKind.COMPLETE, [world.target(0), world.target(1)], 3)
-    peer = next(each for each in first.look() if b"b1" in each.got)
+    peer = next(received for received in first.look() if b"b1" in received.got)
     first.peers[0].say(late)  # on the connection of its own request, whoever has that now
     peer.say(HEAD + chunk(line("started", "b1")))
-    other = next(each for each in world.servers if each is not first)
+    other = next(server for server in world.servers if server is not first)
     for _ in range(100):
         world.loop.one_pass()
     peer.say(chunk(line("done", "b1", result="mine")) + END)
@@ -120,7 +120,7 @@
     first.peers[0].say(HEAD + chunk(line("started")) + chunk(SPOILT[name] + b"\n"))
     if job_class == "look":
         both_asked(world, 2)
-        peers = [peer for each in world.servers for peer in each.peers if b"BODY" in peer.got]
+        peers = [peer for server in world.servers for peer in server.peers if b"BODY" in peer.got]
         peers.remove(first.peers[0])
         peers[0].say(done("ok"))
         assert world.answer(client).endswith("ok")
@@ -203,9 +203,9 @@
     full.bind(("127.0.0.1", 0))
     full.listen(0)
     fillers = [socket.socket() for _ in range(4)]
-    for each in fillers:
-        each.setblocking(False)
-        each.connect_ex(full.getsockname())
+    for filler in fillers:
+        filler.setblocking(False)
+        filler.connect_ex(full.getsockname())
     well = Server()
     limits = Limits(connect=timedelta(milliseconds=100))
     world = World(well, limits=limits)
@@ -218,8 +218,8 @@
     well.peers[0].say(done("ok"))
     assert world.answer(client).endswith("ok")
     assert world.coordinator.ended[Outcome.CONNECT_FAILED] >= 1
-    for each in (*fillers, full):
-        each.close()
+    for filler in (*fillers, full):
+        filler.close()
 
 
 @pytest.mark.parametrize("name", ["book", "pay"])
@@ -240,7 +240,7 @@
     first = next(s for s in world.servers if any(b"X-Call-Id: b" in p.got for p in s.peers))
     assert first.requests() == 1  # its last byte is still here
     next(p for p in first.peers if b"X-Call-Id: b" in p.got).close()
-    other = next(each for each in world.servers if each is not first)
+    other = next(server for server in world.servers if server is not first)
     world.until(lambda: other.requests() == 2 or first.requests() == 2)
     for server in world.servers:
         for peer in server.look():
--- a/tests/scheduler/test_upgrade.py
+++ b/tests/scheduler/test_upgrade.py
@@ -63,8 +63,8 @@
     def serve(self) -> None:
         """Discovery answers each first call with the whole list and holds every watch; targets serve at once."""
         hosts = [
-            {"host": f"s-{place}", "dial": "{}:{}".format(*each.address), "site": "rennes-nord", "health": "Ready"}
-            for place, each in enumerate(self.workers)
+            {"host": f"s-{place}", "dial": "{}:{}".format(*worker.address), "site": "rennes-nord", "health": "Ready"}
+            for place, worker in enumerate(self.workers)
         ]
         body = json.dumps({"seq": 1, "whole": True, "hosts": hosts}).encode()
         for peer in self.discovery.look():
@@ -88,7 +88,7 @@
             if condition():
                 return
             waiting = select.poll()
-            socks = [self.discovery.sock, *[each.sock for each in self.workers]]
+            socks = [self.discovery.sock, *[worker.sock for worker in self.workers]]
             socks += [peer.sock for each in (self.discovery, *self.workers) for peer in each.peers if not peer.ended]
             for sock in socks:
                 waiting.register(sock, select.POLLIN)
@@ -143,7 +143,9 @@
         fleet.until(lambda: send(1, 5) and old.poll() is not None)
         assert old.returncode == 0
         send(10)
-        fleet.until(lambda: all(each.look() and each.ended or b"\r\n\r\nr-" in each.got for each in clients.values()))
+        fleet.until(
+            lambda: all(client.look() and client.ended or b"\r\n\r\nr-" in client.got for client in clients.values())
+        )
         for number, client in clients.items():
             assert client.got.startswith(b"HTTP/1.1 200"), (number, client.got[:80])
             assert client.got.endswith(f"r-j{number}".encode())
--- a/tests/service_discovery/test_directory_ended.py
+++ b/tests/service_discovery/test_directory_ended.py
@@ -32,17 +32,19 @@
         self.network.run_until(lambda: self.network.all_know(self.network.running()), 5 * SECOND)
         for edge in self.edges:
             self.network.set_ready(edge, True)
-        self.network.run_until(lambda: all(self.named_at(each) == self.fronts() for each in self.controls), SECOND)
+        self.network.run_until(
+            lambda: all(self.named_at(control) == self.fronts() for control in self.controls), SECOND
+        )
 
     def fronts(self) -> set[str]:
-        return {each.member.front for each in self.edges}
+        return {edge.member.front for edge in self.edges}
 
     def named_at(self, control: Host) -> set[str]:
         """All that this control node names to some client."""
         members = control.core.members(self.network.now)
         directory = Directory(SETTINGS, lambda: members, HomeRegions(ItemTable()))
         named: set[str] = set()
-        for region in {each.member.region for each in self.edges}:
+        for region in {edge.member.region for edge in self.edges}:
             request = Request("GET", "/v1/resolve", {"name": "a.example", "region": region, "zone": region})
             answer = asyncio.run(directory.resolve(request))
             if answer.status == 200:
@@ -50,8 +52,8 @@
         return named
 
     def is_named(self, *ended: Host) -> bool:
-        fronts = {each.member.front for each in ended}
-        return any(self.named_at(each) & fronts for each in self.controls if each.is_running)
+        fronts = {action.member.front for action in ended}
+        return any(self.named_at(control) & fronts for control in self.controls if control.is_running)
 
 
 def lose_power(fleet: Fleet, host: Host) -> None:
@@ -89,10 +91,10 @@
     end: Callable[[Fleet, Host], None],
 ) -> None:
     fleet = Fleet(3, 9, 1)
-    lost = [each for each in fleet.edges if each.member.region == "region-0"]
+    lost = [edge for edge in fleet.edges if edge.member.region == "region-0"]
     lose_power(fleet, fleet.controls[0])
-    for each in lost:
-        end(fleet, each)
+    for item in lost:
+        end(fleet, item)
     fleet.network.run_until(lambda: not fleet.is_named(*lost), NAMED_AT_MOST)
 
 
@@ -110,4 +112,6 @@
     restarted = fleet.network.restart(fleet.edges[0])
     fleet.network.run(SECOND)
     fleet.network.set_ready(restarted, True)
-    fleet.network.run_until(lambda: all(fleet.named_at(each) == fleet.fronts() for each in fleet.controls), SECOND)
+    fleet.network.run_until(
+        lambda: all(fleet.named_at(control) == fleet.fronts() for control in fleet.controls), SECOND
+    )
--- a/tests/simulator/test_budgets.py
+++ b/tests/simulator/test_budgets.py
@@ -127,8 +127,8 @@
     terms = Terms(rate=50.0, instances=5, keep=0.0)
     budget = Budget(terms, 1, 0)
     now = 6 * SECOND
-    lent = [each for number in range(50) for each in budget.handle(now, [Asked("n1", number, 1_000.0)])]
-    assert sum(each.rate for each in lent if isinstance(each, Grant)) == pytest.approx(7.5)
+    lent = [action for number in range(50) for action in budget.handle(now, [Asked("n1", number, 1_000.0)])]
+    assert sum(loan.rate for loan in lent if isinstance(loan, Grant)) == pytest.approx(7.5)
     assert budget.rate(now) == pytest.approx(2.5)
 
 
@@ -137,7 +137,7 @@
     now = 6 * SECOND
     budget.handle(now, [There(("n1", "n2"))])
     assert not budget.take(now, 30.0)
-    asked = [each for each in budget.handle(now + SECOND, []) if isinstance(each, Ask)]
+    asked = [action for action in budget.handle(now + SECOND, []) if isinstance(action, Ask)]
     assert {each.to for each in asked} == {"n1", "n2"}
     rate = budget.rate(now + SECOND)
     budget.handle(now + SECOND, [Granted("n3", asked[0].number, 5.0), Granted(asked[0].to, 1, 5.0)])
--- a/tests/simulator/test_lab_model.py
+++ b/tests/simulator/test_lab_model.py
@@ -161,7 +161,7 @@
     again.give(Woken(), end)
     again.give(Woken())
     # The end came in the same instant and before the worker could say so; either way there is one last word.
-    assert len([each for each in again.said if each[2].is_last]) <= 1
+    assert len([name for name in again.said if name[2].is_last]) <= 1
     assert again.model.used == 0
 
 
@@ -249,11 +249,11 @@
     scenario = small({"kind": "slow", "at_s": 1, "for_s": 4, "size": 5, "part": 0.2, "ramp_s": 1})
     chance = draw.Chance(1)
     steps = faults.timetable(scenario, draw.machines(scenario, chance), chance)
-    values = [each.value for each in steps]
+    values = [step.value for step in steps]
     assert max(values) == pytest.approx(5, rel=0.06)
     assert values[-1] == 1.0
     assert values[:10] == sorted(values[:10])
-    assert len({each.member for each in steps}) == 1
+    assert len({step.member for step in steps}) == 1
 
 
 def test_one_matter_s_draw_moves_no_other() -> None:
@@ -288,8 +288,8 @@
     scenario = small({"kind": "burst", "at_s": 100, "for_s": 100, "size": 2}, length_s=400)
     chance = draw.Chance(3)
     at = draw.jobs(scenario, draw.machines(scenario, chance), chance).at_ns
-    inside = sum(100 * SECOND <= each < 200 * SECOND for each in at) / 100
-    outside = sum(each >= 200 * SECOND for each in at) / 200
+    inside = sum(100 * SECOND <= when < 200 * SECOND for when in at) / 100
+    outside = sum(when >= 200 * SECOND for when in at) / 200
     assert inside / outside == pytest.approx(2, rel=0.1)
 
 
@@ -304,6 +304,6 @@
 def test_hundreds_of_machines_share_models_and_zones_exactly() -> None:
     scenario = small(**{"fleet.workers": 300, "fleet.zone_weights": [2, 1]})
     fleet = draw.machines(scenario, draw.Chance(1))
-    assert Counter(each.zone for each in fleet) == {"north": 200, "south": 100}
-    assert Counter(each.model for each in fleet) == {"gen-a": 63, "gen-b": 78, "gen-c": 159}
+    assert Counter(worker.zone for worker in fleet) == {"north": 200, "south": 100}
+    assert Counter(worker.model for worker in fleet) == {"gen-a": 63, "gen-b": 78, "gen-c": 159}
     assert isinstance(scenario.fleet.models[0], spec.MachineModel)
--- a/tests/simulator/test_lab_peers.py
+++ b/tests/simulator/test_lab_peers.py
@@ -36,8 +36,8 @@
     assert signs["n1"] == "#" * 5 + "+" * 8 + "#" * 27
     assert signs["n5"] == signs["n1"][:18] + "x" * 4 + signs["n1"][22:]
     assert signs["n2"] == signs["n1"][:26] + "x" * 4 + signs["n1"][30:]
-    deaths = [each for each in world.peers.seen if each.after == "dead"]
-    assert {each.name for each in deaths if each.at_ns - world.begun > 14e9} <= {"n5", "n2"}
+    deaths = [seen for seen in world.peers.seen if seen.after == "dead"]
+    assert {death.name for death in deaths if death.at_ns - world.begun > 14e9} <= {"n5", "n2"}
     assert "Who could hear whom" in report.page([result])
 
 
@@ -100,7 +100,7 @@
     )  # fmt: skip
     world = engine_sockets.SocketWorld(scenario, tmp_path)
     result = world.play()
-    assert not [each for each in result.broken if each.rule != "answer"], result.broken[0].text
+    assert not [rule for rule in result.broken if rule.rule != "answer"], result.broken[0].text
     assert world.relay is not None
     assert world.relay.passed > 500
     assert world.links.lost > 30
--- a/tests/simulator/test_lab_sim.py
+++ b/tests/simulator/test_lab_sim.py
@@ -90,7 +90,7 @@
     first, second = (ledger.opened(job, 0, 0, SECOND, "n0") for job in (0, 1))
     ledger.ended(first, SECOND + 49 * MS, End.SERVED)
     ledger.ended(second, SECOND + 51 * MS, End.SERVED)
-    assert [each.text.splitlines()[0] for each in ledger.broken()] == ["an answer came 51 ms too late"]
+    assert [rule.text.splitlines()[0] for rule in ledger.broken()] == ["an answer came 51 ms too late"]
 
 
 PLAY = """
@@ -133,7 +133,7 @@
 )
 def test_the_scenarios_that_ship_keep_the_rules(name: str) -> None:
     length = min(30.0, scenario.load(name).length_s)
-    faults = [msgspec.to_builtins(each) for each in scenario.load(name).faults if each.at_s < length]
+    faults = [msgspec.to_builtins(fault) for fault in scenario.load(name).faults if fault.at_s < length]
     result, _ = engine_sim.play(scenario.load(name, {"length_s": length, "faults": faults}))
     assert result.broken == []
     assert result.service > 0.7
@@ -144,7 +144,7 @@
     by_job, _ = engine_sim.play(small(length_s=3))
     by_work, _ = engine_sim.play(small(**{"length_s": 3, "traffic.worth_by": "work"}))
     assert by_job.ends == by_work.ends
-    asked = [sum(each.asked for each in result.windows) for result in (by_job, by_work)]
+    asked = [sum(window.asked for window in result.windows) for result in (by_job, by_work)]
     assert asked[0] == pytest.approx(round(asked[0] * 20) / 20)  # whole worths, and twentieths beyond the shares
     assert asked[1] != pytest.approx(round(asked[1] * 20) / 20, abs=1e-5)
 
--- a/tests/simulator/test_lab_sockets.py
+++ b/tests/simulator/test_lab_sockets.py
@@ -46,14 +46,14 @@
     assert result.broken == []
     assert result.jobs == len(engine_sim.SimulatedWorld(played).jobs)  # both engines play the same draw
     assert result.ends["served"] > 0.7 * result.jobs
-    assert sum(each.offered for each in result.traffic) >= result.ends["served"]
+    assert sum(stream.offered for stream in result.traffic) >= result.ends["served"]
     assert (tmp_path / "n0.log").read_text().count("listens on") == 2  # it was started again
 
 
 def test_a_broken_scheduler_process_is_caught(tmp_path: Path) -> None:
     command = [sys.executable, "-m", "tests.support.broken_scheduler"]
     result = engine_sockets.play(small(BREAKING, length_s=4), tmp_path, command)
-    assert [each for each in result.broken if each.rule == "twice" and "contract-file ran" in each.text]
+    assert [rule for rule in result.broken if rule.rule == "twice" and "contract-file ran" in rule.text]
 
 
 def test_a_scheduler_that_dies_at_its_start_ends_the_run_with_its_words(tmp_path: Path) -> None:
@@ -107,8 +107,8 @@
     stub = Stub({"rate": 400.0, "seconds": 0.5, "classes": classes, "departments": departments})
     summary = stub.load.run()
     assert summary.served == summary.sent == summary.planned == len(set(stub.seen)) > 100
-    assert sum(each.served for each in summary.classes) == summary.served
-    assert sum(each.sent for each in summary.departments) == summary.sent
+    assert sum(request_class.served for request_class in summary.classes) == summary.served
+    assert sum(department.sent for department in summary.departments) == summary.sent
     assert summary.classes[0].sent > summary.classes[1].sent
 
 
@@ -125,7 +125,7 @@
     stub = Stub({"rate": 100.0, "seconds": 0.2, "budget_s": 0.2, "connections": 2}, mute=True)
     summary = stub.load.run()
     assert summary.unanswered == summary.sent
-    assert any("all 2 connections" in each for each in summary.marks)
+    assert any("all 2 connections" in mark for mark in summary.marks)
 
 
 @pytest.mark.parametrize(("status", "field"), [("503 Service Unavailable", "refused"), ("500 Error", "failed")])
@@ -198,7 +198,7 @@
         return experiments.sweep(str(path), grid, [1, 2], tmp_path / "out", 2, lambda done, of: seen.append((done, of)))
 
     made = sweep()
-    assert [each.name for each in made] == [
+    assert [item.name for item in made] == [
         f"traffic.load={load}-seed{seed}.json" for load in (0.2, 0.3) for seed in (1, 2)
     ]
     assert seen[0] == (0, 4)
@@ -297,7 +297,7 @@
 def test_lab_run_writes_result_cost_and_report(tmp_path: Path) -> None:
     code, text = invoke("lab", "run", "smoke", "--set", "length_s=3", "--set", "faults=[]", "--out", str(tmp_path))
     assert code == ExitCode.OK, text
-    assert sorted(each.suffix for each in tmp_path.iterdir()) == [".cost", ".html", ".json"]
+    assert sorted(path.suffix for path in tmp_path.iterdir()) == [".cost", ".html", ".json"]
     code, text = invoke("lab", "run", "smoke", "--set", "traffic.laod=1", "--out", str(tmp_path))
     assert code == ExitCode.USAGE
     assert "did you mean load?" in text
@@ -344,8 +344,8 @@
                 b"POST /api?sid=1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c1\r\nX-Call-Class: hours-entry\r\n"
                 b"X-Budget: 9\r\nContent-Length: 2\r\n\r\nhi"
             )
-            said = [json.loads(each) for each in lines_of(lines)]
-        assert [each["state"] for each in said] == ["started", "done"]
+            said = [json.loads(line) for line in lines_of(lines)]
+        assert [name["state"] for name in said] == ["started", "done"]
         assert said[1]["id"] == "c1"
         assert "x0" in said[1].get("load", {"x0": 0})
     finally:
--- a/tests/support/change_history.py
+++ b/tests/support/change_history.py
@@ -116,10 +116,10 @@
 
     def _current_during(self, begin: float, end: float) -> Iterator[ControlState]:
         """The states that were current at some moment of a span."""
-        for number, each in enumerate(self._starts):
+        for number, start in enumerate(self._starts):
             until = self._starts[number + 1].at if number + 1 < len(self._starts) else NEVER
-            if each.at <= end and until >= begin:
-                yield each.state
+            if start.at <= end and until >= begin:
+                yield start.state
 
     def _check_sequence(self) -> None:
         """Versions rise, and what is in force is valid."""
@@ -137,9 +137,9 @@
     def _taken(self) -> dict[bytes, CommittedState]:
         """The configuration orders that were taken, each with the first state that shows it."""
         taken: dict[bytes, CommittedState] = {}
-        for each in self._states:
-            for key in each.state.applied_change_keys[-1:]:
-                taken.setdefault(key, each)
+        for state in self._states:
+            for key in state.state.applied_change_keys[-1:]:
+                taken.setdefault(key, state)
         return taken
 
     def _check_one_winner(self) -> None:
@@ -180,9 +180,11 @@
 
     def _is_invalid_on_its_own_version(self, call: Call) -> bool:
         assert call.change is not None
-        own = [each.state for each in self._starts if each.state.generation == call.change.if_match]
+        own = [start.state for start in self._starts if start.state.generation == call.change.if_match]
         outcomes = [apply(state, call.change) for state in own]
-        return any(isinstance(each, Failure) and STATUS_OF_CODE.get(each.code) == call.status for each in outcomes)
+        return any(
+            isinstance(outcome, Failure) and STATUS_OF_CODE.get(outcome.code) == call.status for outcome in outcomes
+        )
 
     def _check_acknowledgement(self, call: Call) -> None:
         """In force, or taken, by the time of the answer."""
@@ -241,11 +243,11 @@
             kind = call.change.kind
             if call.status != 200:
                 continue
-            others = [each for each in orders if each.change is not None and each.change.kind is not kind]
-            if any(call.sent_at <= each.sent_at <= call.ended_at for each in others):
+            others = [order for order in orders if order.change is not None and order.change.kind is not kind]
+            if any(call.sent_at <= other.sent_at <= call.ended_at for other in others):
                 continue
-            last = max((each.sent_at for each in others if each.sent_at < call.sent_at), default=-1.0)
-            next_sent = min((each.sent_at for each in others if each.sent_at > call.ended_at), default=NEVER)
+            last = max((other.sent_at for other in others if other.sent_at < call.sent_at), default=-1.0)
+            next_sent = min((other.sent_at for other in others if other.sent_at > call.ended_at), default=NEVER)
             assert last < next_sent
             for state in self._current_during(call.ended_at, next_sent):
                 if (zone in state.evacuated_zones) != (kind is ChangeKind.START_EVACUATION):
@@ -256,9 +258,9 @@
     """The rules of a valid configuration, told once more and apart from the program."""
     services = {each["name"] for each in configuration["services"]}
     routes = configuration["routes"]
-    places = {(each["host"], each["prefix"]) for each in routes}
+    places = {(route["host"], route["prefix"]) for route in routes}
     return (
         len(places) == len(routes)
-        and all(each["service"] in services for each in routes)
-        and all(each["timeout_ms"] > 0 for each in routes)
+        and all(route["service"] in services for route in routes)
+        and all(route["timeout_ms"] > 0 for route in routes)
     )
--- a/tests/support/change_operators.py
+++ b/tests/support/change_operators.py
@@ -151,9 +151,9 @@
         simulation = self.simulation
         until = simulation.now() + seconds
         work: list[Coroutine[Any, Any, None]] = [self._inject_fault(until)]
-        for each in self._operators:
-            work += [each.change_configurations(until) for _ in range(CONFIGURATION_TOOLS)]
-            work.append(each.evacuate_in_turns(until))
+        for operator in self._operators:
+            work += [operator.change_configurations(until) for _ in range(CONFIGURATION_TOOLS)]
+            work.append(operator.evacuate_in_turns(until))
         await asyncio.gather(*work)
         self._end_trouble()
         await asyncio.sleep(QUIET_S)
@@ -161,12 +161,12 @@
         simulation.check()
 
     async def _read_back(self) -> None:
-        for each in self._operators:
-            call = await each.read()
+        for operator in self._operators:
+            call = await operator.read()
             assert call is not None or not self._is_configured(), "the configuration did not come"
 
     def _is_configured(self) -> bool:
-        return any(each.state.configuration is not None for each in self.simulation.history.states.values())
+        return any(state.state.configuration is not None for state in self.simulation.history.states.values())
 
     async def _inject_fault(self, until: float) -> None:
         await asyncio.sleep(self._chance.uniform(0.0, 2.0))
--- a/tests/support/change_simulation.py
+++ b/tests/support/change_simulation.py
@@ -174,7 +174,7 @@
         for kind in kinds or self._simulation.chance.sample(KINDS, len(KINDS)):
             if kind == "tick" and self.member is not None:
                 self.perform(self.member.tick(self._simulation.now_ns()))
-            events = [event for each, event in waiting if each == kind]
+            events = [event for entry, event in waiting if entry == kind]
             if kind == "message" and messages_after_s:
                 self._come_later(events, messages_after_s)
             else:
@@ -426,7 +426,7 @@
 
     def primary(self) -> Node | None:
         """A node that acts as the primary and is not frozen."""
-        return next((each for each in self.nodes.values() if each.is_primary and not each.is_frozen), None)
+        return next((node for node in self.nodes.values() if node.is_primary and not node.is_frozen), None)
 
     async def primary_in_force(self) -> Node:
         """Wait for a primary, and a little longer."""
--- a/tests/support/cluster_network.py
+++ b/tests/support/cluster_network.py
@@ -173,20 +173,20 @@
         self._perform(host)
 
     def running(self) -> list[Host]:
-        return [each for each in self.hosts.values() if each.is_running]
+        return [host for host in self.hosts.values() if host.is_running]
 
     def have(self, hosts: Iterable[Host], item: Item) -> bool:
-        return all(each.core.table.get(item.kind, item.key) == item for each in hosts)
+        return all(host.core.table.get(item.kind, item.key) == item for host in hosts)
 
     def names(self, host: Host) -> set[str]:
         """The members that this node lists."""
-        return {each.name for each in host.core.members(host.clock(self.now))}
+        return {member.name for member in host.core.members(host.clock(self.now))}
 
     def all_know(self, hosts: Iterable[Host]) -> bool:
         """Whether these nodes list exactly each other."""
         each_of = tuple(hosts)
-        wanted = {each.member.name for each in each_of}
-        return all(self.names(each) == wanted for each in each_of)
+        wanted = {part.member.name for part in each_of}
+        return all(self.names(part) == wanted for part in each_of)
 
     def _run_until(self, end: int, condition: Callable[[], bool]) -> bool:
         checked = -1
--- a/tests/support/data_plane_harness.py
+++ b/tests/support/data_plane_harness.py
@@ -278,7 +278,7 @@
 
 def request_bytes(path: str, identity: str = "r1", body: str = "", *headers: str) -> str:
     lines = [f"POST {path} HTTP/1.1", f"Host: {HOST}", f"X-Request-Id: {identity}", f"Content-Length: {len(body)}"]
-    if not any(each.lower().startswith("x-deadline") for each in headers):
+    if not any(header.lower().startswith("x-deadline") for header in headers):
         lines.append("X-Deadline: 4000")
     return "\r\n".join([*lines, *headers]) + "\r\n\r\n" + body
 
--- a/tests/support/free_ports.py
+++ b/tests/support/free_ports.py
@@ -38,11 +38,11 @@
 
 def _is_free(port: int) -> bool:
     with ExitStack() as stack:
-        for each in range(port, port + BLOCK_PORTS):
+        for number in range(port, port + BLOCK_PORTS):
             for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
                 sock = stack.enter_context(socket.socket(socket.AF_INET, kind))
                 try:
-                    sock.bind(("0.0.0.0", each))
+                    sock.bind(("0.0.0.0", number))
                 except OSError:
                     return False
     return True
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -126,7 +126,7 @@
 
 def of(actions: list[Action], kind: Any) -> list[Any]:
     """The actions of one type, or of several."""
-    return [each for each in actions if isinstance(each, kind)]
+    return [action for action in actions if isinstance(action, kind)]
 
 
 def only(actions: list[Action], kind: Any) -> Any:
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -78,7 +78,7 @@
 
     def requests(self) -> int:
         """Requests that have come whole, over all connections."""
-        return sum(each.look().count(b"BODY") for each in self.look())
+        return sum(received.look().count(b"BODY") for received in self.look())
 
 
 def chunk(data: bytes) -> bytes:
--- a/tests/support/membership_simulation.py
+++ b/tests/support/membership_simulation.py
@@ -50,15 +50,15 @@
 
 
 def electorate(simulation: ReplicationSimulation) -> set[str]:
-    return {member_ip(each) for each in view_of(simulation).witnesses}
+    return {member_ip(witness) for witness in view_of(simulation).witnesses}
 
 
 def copies(simulation: ReplicationSimulation) -> set[str]:
-    return {member_ip(each) for each in view_of(simulation).replicas}
+    return {member_ip(replica) for replica in view_of(simulation).replicas}
 
 
 def others(simulation: ReplicationSimulation, *ips: str) -> list[str]:
-    return [each for each in simulation.machines if each not in ips]
+    return [machine for machine in simulation.machines if machine not in ips]
 
 
 def acknowledge(simulation: ReplicationSimulation, limit: int = RECOVERY_LIMIT_NS) -> int:
--- a/tests/support/model_disk.py
+++ b/tests/support/model_disk.py
@@ -87,7 +87,7 @@
 
     def flip(self, name: str, position: int) -> ModelDisk:
         """A copy with one damaged byte."""
-        files = {each: file.content() for each, file in self._files.items()}
+        files = {name: file.content() for name, file in self._files.items()}
         data = bytearray(files[name])
         data[position] ^= 0x55
         files[name] = bytes(data)
--- a/tests/support/peering.py
+++ b/tests/support/peering.py
@@ -74,14 +74,14 @@
 
     def replay(self) -> None:
         """Everything that was kept of the fleet's past comes once more, to all."""
-        running = {each.name: each for each in self.running()}
+        running = {host.name: host for host in self.running()}
         for name, event in list(self.past):
             sender = running.get(name)
             if sender is not None and sender.members is not None and sender.members.start == event.sender.start:
                 continue  # of a process that is known the carrier drops it
-            for each in running.values():
-                if each.name != name:
-                    self._arrive(each, event)
+            for host in running.values():
+                if host.name != name:
+                    self._arrive(host, event)
 
     # --- the referee ------------------------------------------------------------------------------
 
@@ -138,18 +138,18 @@
     def settle(self) -> None:
         """The network heals, who was stopped goes on: all must agree, and nobody from the past may come back."""
         self.heal()
-        for each in self.instances.values():
-            if each.stopped:
-                self.go_on(each.name)
+        for instance in self.instances.values():
+            if instance.stopped:
+                self.go_on(instance.name)
         took = self.until(self.agree, HEALED_WITHIN_S, 0.1)
         if took > HEALED_WITHIN_S:
-            views = {each.name: self.view(each.name) for each in self.running()}
+            views = {host.name: self.view(host.name) for host in self.running()}
             raise BrokenError(f"they do not agree {HEALED_WITHIN_S} s after all was well again: {views}")
         self.run(3)  # what is under way ends
         begun = self.now
         self.replay()
         self.run(2)
-        running = {each.name for each in self.running()}
+        running = {host.name for host in self.running()}
         for seen in self.seen:
             if seen.at_ns >= begun and seen.after == MemberStatus.ALIVE.name.lower() and seen.name not in running:
                 raise BrokenError(f"{seen.by} took {seen.name} to be alive by a datagram from the past")
--- a/tests/support/replication_simulation.py
+++ b/tests/support/replication_simulation.py
@@ -292,7 +292,7 @@
     def settle(self) -> None:
         """Deliver and sync until nothing is on its way. Heartbeats alone never keep this going."""
         kept: list[Packet] = []
-        while self.packets or any(each.writing is not None for each in self.machines.values()):
+        while self.packets or any(machine.writing is not None for machine in self.machines.values()):
             while self.packets:
                 packet = self.packets.pop(0)
                 if packet.to_ip in self.frozen:
@@ -316,12 +316,12 @@
             self._deliver_due()
 
     def _deliver_due(self) -> None:
-        due = [each for each in self.packets if self._is_due(each)]
+        due = [packet for packet in self.packets if self._is_due(packet)]
         while due:
-            self.packets = [each for each in self.packets if each not in due]
+            self.packets = [packet for packet in self.packets if packet not in due]
             for packet in due:
                 self.deliver(packet)
-            due = [each for each in self.packets if self._is_due(each) and each.to_ip not in self.frozen]
+            due = [packet for packet in self.packets if self._is_due(packet) and packet.to_ip not in self.frozen]
 
     def _is_due(self, packet: Packet) -> bool:
         local = member_ip(packet.sender) == packet.to_ip
@@ -438,7 +438,7 @@
     def _is_tried_elsewhere(self, tag: str) -> bool:
         """Whether another call carries the tag, which may then be taken after this refusal."""
         tries = [call for call, _ in self.answers if call.tag == tag]
-        return len(tries) > 1 or any(each.tag == tag for each in self.calls.values()) or tag in self._lost_tags
+        return len(tries) > 1 or any(call.tag == tag for call in self.calls.values()) or tag in self._lost_tags
 
     # --- machinery --------------------------------------------------------------------------------------------
 
@@ -448,7 +448,7 @@
         return self._calls
 
     def _drop_calls(self, ip: str) -> None:
-        for number in [each for each, call in self.calls.items() if call.machine == ip]:
+        for number in [name for name, call in self.calls.items() if call.machine == ip]:
             call = self.calls.pop(number)
             if call.tag is not None:
                 self._lost_tags.add(call.tag)
@@ -502,14 +502,14 @@
 
 def is_fully_replicated(simulation: ReplicationSimulation, except_for: str = "") -> bool:
     """Whether every other machine has stored the same settled view with everybody in it: one may lose its disk."""
-    others = [each for each in simulation.machines.values() if each.ip != except_for]
+    others = [machine for machine in simulation.machines.values() if machine.ip != except_for]
     accepted = others[0].durable.accepted
     everybody = {machine.me for machine in simulation.machines.values()}
     if accepted is None or set(accepted.replicas) != everybody or set(accepted.witnesses) != everybody:
         return False
     return all(
-        each.durable.accepted == accepted and each.durable.in_force and each.durable.installed == accepted.epoch
-        for each in others
+        other.durable.accepted == accepted and other.durable.in_force and other.durable.installed == accepted.epoch
+        for other in others
     )
 
 
@@ -721,11 +721,11 @@
         if self._may_wipe(ip) and chance.random() < 0.5:
             self._wipe(ip)
         else:
-            for each in simulation.machines:
-                simulation.crash(each, keep_unsynced=chance.random() < 0.3)
-        for each in simulation.machines:
+            for machine in simulation.machines:
+                simulation.crash(machine, keep_unsynced=chance.random() < 0.3)
+        for machine in simulation.machines:
             if chance.random() < 0.8:
-                simulation.start(each)
+                simulation.start(machine)
 
     def _may_wipe(self, ip: str) -> bool:
         if is_fully_replicated(self.simulation, ip):
@@ -739,6 +739,6 @@
     def _wipe(self, ip: str) -> None:
         simulation, chance = self.simulation, self._chance
         if chance.random() < 0.5:
-            for each in simulation.machines:
-                simulation.crash(each, keep_unsynced=chance.random() < 0.5)
+            for machine in simulation.machines:
+                simulation.crash(machine, keep_unsynced=chance.random() < 0.5)
         simulation.wipe(ip)
--- a/tests/support/slow_links.py
+++ b/tests/support/slow_links.py
@@ -51,7 +51,7 @@
             case Chunk(data=data):
                 return SMALL_MESSAGE_BYTES + len(data)
             case Append(changes=changes):
-                return SMALL_MESSAGE_BYTES + sum(change_size(each) for each in changes)
+                return SMALL_MESSAGE_BYTES + sum(change_size(change) for change in changes)
             case Install(state=ControlState() as state) | Fetched(state=ControlState() as state):
                 return SMALL_MESSAGE_BYTES + len(self.codec.encode_state(state))
         return SMALL_MESSAGE_BYTES
--- a/tests/support/soft_state_invariants.py
+++ b/tests/support/soft_state_invariants.py
@@ -105,7 +105,8 @@
     def contact_at(self, electorates: Iterable[Electorate]) -> int:
         """When there was contact with a majority at the latest: no confirmed round trip can be newer."""
         found = (
-            min(_majority_at(self.to_them_at, each), _majority_at(self.from_them_at, each)) for each in electorates
+            min(_majority_at(self.to_them_at, electorate), _majority_at(self.from_them_at, electorate))
+            for electorate in electorates
         )
         return max(found, default=NEVER)
 
@@ -207,7 +208,7 @@
 
     def _index_in_force(self) -> int:
         until = self.world.now - IN_FORCE
-        return max((each.index for each in self.world.acknowledged if each.at <= until), default=0)
+        return max((change.index for change in self.world.acknowledged if change.at <= until), default=0)
 
     # --- contact ------------------------------------------------------------------------------------
 
@@ -216,7 +217,7 @@
         self._contacts.clear()
         self._observe_electorates()
         controls = self.world.controls()
-        live = [each for each in controls if not each.is_frozen]
+        live = [control for control in controls if not control.is_frozen]
         for control in controls:
             self._observe_control(control, live)
         in_touch = [each for each in live if self.reach(each.machine).in_touch.since is not None]
@@ -233,7 +234,7 @@
                 if each is not None
             ]
         newest = max(views, key=lambda view: view.epoch, default=None)
-        self._electorates = list(dict.fromkeys(each for view in views for each in _electorates(view)))
+        self._electorates = list(dict.fromkeys(electorate for view in views for electorate in _electorates(view)))
         self._newest_electorates = [] if newest is None else _electorates(newest)
 
     def _observe_control(self, control: ControlProcess, live: list[ControlProcess]) -> None:
@@ -243,13 +244,15 @@
             return
         own = control.machine.ip
         others = [each.machine.ip for each in live if each is not control]
-        to_them = [own, *(each for each in others if not network.passage(own, each))]
+        to_them = [own, *(other for other in others if not network.passage(own, other))]
         # What was held on the way arrives when the way opens, even if its sender has ended since.
-        senders = [each.ip for each in self.world.machines.values() if each.is_control]
-        from_them = [each for each in senders if not network.passage(each, own)]
+        senders = [machine.ip for machine in self.world.machines.values() if machine.is_control]
+        from_them = [sender for sender in senders if not network.passage(sender, own)]
         both = [each for each in to_them if each in from_them]
         reach.note(now, to_them, from_them)
-        holds = bool(self._newest_electorates) and all(_is_majority(both, each) for each in self._newest_electorates)
+        holds = bool(self._newest_electorates) and all(
+            _is_majority(both, newest_electorate) for newest_electorate in self._newest_electorates
+        )
         reach.in_touch.note(now, holds)
 
     def _observe_edge(self, edge: Process, live: list[ControlProcess], in_touch: list[ControlProcess]) -> None:
@@ -259,8 +262,8 @@
             span = self._pairs.setdefault((control, edge), Span())
             is_two_way = not edge.is_frozen and network.is_two_way(own, control.machine.ip)
             span.note(now, is_two_way and self._knows(edge, control))
-        reaches_all = not edge.is_frozen and all(network.is_two_way(own, each.machine.ip) for each in in_touch)
-        knows_one = reaches_all and any(self._knows(edge, each) for each in in_touch)
+        reaches_all = not edge.is_frozen and all(network.is_two_way(own, node.machine.ip) for node in in_touch)
+        knows_one = reaches_all and any(self._knows(edge, node) for node in in_touch)
         span = self._edge_touch.setdefault(edge, Span())
         span.note(now, knows_one)
         self._observe_parent(edge)
@@ -404,14 +407,17 @@
 
 @lru_cache(maxsize=1024)
 def _electorates(view: View) -> list[Electorate]:
-    return [frozenset(member_ip(each) for each in witnesses) for witnesses in (view.witnesses, view.previous_witnesses)]
+    return [
+        frozenset(member_ip(witness) for witness in witnesses)
+        for witnesses in (view.witnesses, view.previous_witnesses)
+    ]
 
 
 def _is_majority(ips: Iterable[str], electorate: Electorate) -> bool:
-    return 2 * sum(each in electorate for each in ips) > len(electorate)
+    return 2 * sum(ip in electorate for ip in ips) > len(electorate)
 
 
 def _majority_at(times: dict[str, int], electorate: Electorate) -> int:
     """When the last one came that made a majority."""
-    newest = sorted((times.get(each, NEVER) for each in electorate), reverse=True)
+    newest = sorted((times.get(member, NEVER) for member in electorate), reverse=True)
     return newest[len(electorate) // 2]
--- a/tests/support/soft_state_network.py
+++ b/tests/support/soft_state_network.py
@@ -239,7 +239,7 @@
     def _fail_to_open(self, connection: Connection) -> None:
         opener, target = connection.opener, connection.target
         connection.is_given_up = True
-        waiting = [opener.address, *(each for each in connection.queues if each != opener.address)]
+        waiting = [opener.address, *(queue for queue in connection.queues if queue != opener.address)]
         for address in waiting:
             other = target if address == opener.address else opener.address
             self._back_off[address, other] = self.now + BACK_OFF
--- a/tests/support/soft_state_walk.py
+++ b/tests/support/soft_state_walk.py
@@ -102,10 +102,10 @@
                 kind(self)
 
     def _check_recovered(self) -> None:
-        acknowledged = [each for each in self.world.acknowledged if each.at > self.world.now - RECOVERY]
+        acknowledged = [change for change in self.world.acknowledged if change.at > self.world.now - RECOVERY]
         if not acknowledged:
             raise NoRecovery(f"no order was acknowledged in the {RECOVERY / SECOND} s after all trouble")
-        missing = [each.machine.name for each in self.world.edges() if not self.watch.is_in_touch(each)]
+        missing = [edge.machine.name for edge in self.world.edges() if not self.watch.is_in_touch(edge)]
         if missing:
             raise NoRecovery(f"these are not in touch: {missing}")
 
@@ -118,7 +118,7 @@
         chance, operator = self.chance, self._operator
         if chance.random() > 0.15:
             return
-        controls = [each for each in self.world.controls() if not each.is_frozen]
+        controls = [control for control in self.world.controls() if not control.is_frozen]
         if not controls:
             return
         process = chance.choice(controls)
@@ -166,7 +166,7 @@
         return None
 
     def _process_at(self, ip: str) -> ControlProcess | None:
-        return next((each for each in self.world.controls() if each.machine.ip == ip), None)
+        return next((control for control in self.world.controls() if control.machine.ip == ip), None)
 
     def _beat(self) -> None:
         for worker in self._workers:
@@ -175,7 +175,7 @@
 
     def _send_heartbeat(self, worker: Worker) -> None:
         now, chance = self.world.now, self.chance
-        controls = [each for each in self.world.controls() if not each.is_frozen]
+        controls = [control for control in self.world.controls() if not control.is_frozen]
         if not worker.is_draining and chance.random() < 0.05:
             worker.is_draining = True
         worker.sequence += 1
@@ -266,12 +266,12 @@
     def may_stop_a_control(self) -> bool:
         """Whether no more control machines would be without a process than the system bears."""
         machines = self.world.control_machines()
-        up = {each.machine.name for each in self.world.controls() if not each.is_leaving}
-        return sum(each.name not in up for each in machines) < self.world.tolerated
+        up = {control.machine.name for control in self.world.controls() if not control.is_leaving}
+        return sum(machine.name not in up for machine in machines) < self.world.tolerated
 
 
 def _names(machines: list[Machine]) -> str:
-    return ",".join(each.name for each in machines)
+    return ",".join(machine.name for machine in machines)
 
 
 # --- the kinds of trouble -------------------------------------------------------------------------------------------
@@ -279,24 +279,26 @@
 
 def a_control_is_cut_from_the_others(walk: Walk) -> None:
     one = walk.a_control()
-    walk.cut_some_way([one], [each for each in walk.world.control_machines() if each is not one])
+    walk.cut_some_way(
+        [one], [control_machine for control_machine in walk.world.control_machines() if control_machine is not one]
+    )
 
 
 def a_control_is_cut_from_everybody(walk: Walk) -> None:
     one = walk.a_control()
-    walk.cut_some_way([one], [each for each in walk.world.machines.values() if each is not one])
+    walk.cut_some_way([one], [machine for machine in walk.world.machines.values() if machine is not one])
 
 
 def a_region_is_cut(walk: Walk) -> None:
     region = walk.chance.choice(sorted(set(walk.world.zones.values())))
-    inside = [each for each in walk.world.machines.values() if each.region == region]
-    walk.cut_some_way(inside, [each for each in walk.world.machines.values() if each.region != region])
+    inside = [machine for machine in walk.world.machines.values() if machine.region == region]
+    walk.cut_some_way(inside, [machine for machine in walk.world.machines.values() if machine.region != region])
 
 
 def any_sides_are_cut(walk: Walk) -> None:
     machines = list(walk.world.machines.values())
     one = walk.chance.sample(machines, walk.chance.randrange(1, len(machines)))
-    walk.cut_some_way(one, [each for each in machines if each not in one])
+    walk.cut_some_way(one, [machine for machine in machines if machine not in one])
 
 
 def an_edge_is_cut_from_a_control(walk: Walk) -> None:
@@ -367,12 +369,12 @@
     machine, world = walk.a_control(), walk.world
     if not walk.may_stop_a_control() or not world.is_whole(machine):
         return
-    others = [each.address for each in world.control_machines() if each is not machine]
+    others = [control_machine.address for control_machine in world.control_machines() if control_machine is not machine]
     new = world.replace_control(machine, walk.chance.sample(others, walk.chance.randrange(1, len(others) + 1)))
     walk.story.append(f"        {machine.name} is replaced by {new.name}")
     is_told_to_all = walk.chance.random() < 0.7
     for edge in world.edge_machines():
-        if is_told_to_all or not any(each in edge.seeds for each in others):
+        if is_told_to_all or not any(other in edge.seeds for other in others):
             walk.set_seeds(edge, [*others, new.address])
 
 
@@ -380,7 +382,7 @@
     """Some control nodes are cut off from the others, and the edge begins with them."""
     world, edge = walk.world, walk.an_edge()
     one = walk.a_control()
-    far = [each for each in world.control_machines() if each is not one]
+    far = [control_machine for control_machine in world.control_machines() if control_machine is not one]
     walk.cut_some_way([one], far)
     if walk.chance.random() < 0.5:
         edge.seeds = [one.address]
--- a/tests/support/soft_state_world.py
+++ b/tests/support/soft_state_world.py
@@ -352,7 +352,7 @@
         self._told_view: tuple[View, bool] | None = None
         self._waiting: list[Handling] = []
         self.publisher = StatePublisher(self)
-        seed_ips = tuple(each.host for each in machine.seeds)
+        seed_ips = tuple(seed.host for seed in machine.seeds)
         settings = MemberSettings(machine.member, seed_ips, world.tolerated, seed=seed)
         self.member = Member(settings, machine.durable, apply_order, apply_order, self.now)
         self.table = self.core.table
@@ -429,7 +429,7 @@
             return
         self._told_view = view, is_settled
         electorates = [view.witnesses] if is_settled else [view.witnesses, view.previous_witnesses]
-        ips = [[member_ip(each) for each in electorate] for electorate in electorates]
+        ips = [[member_ip(member) for member in electorate] for electorate in electorates]
         self.core.set_electorates(self.now, ips)
 
     def _send(self, action: ReplicationSend | SendToAddress) -> None:
@@ -502,7 +502,7 @@
 
     def control_nodes(self) -> Sequence[NodeMember]:
         """The control nodes among them."""
-        return [each for each in self.members() if each.is_control]
+        return [member for member in self.members() if member.is_control]
 
     def peer_address(self, member: NodeMember) -> Address:
         """Where a member takes messages."""
@@ -660,23 +660,23 @@
 
     def controls(self) -> list[ControlProcess]:
         """The control processes that run."""
-        return [each for each in self._processes() if isinstance(each, ControlProcess)]
+        return [process for process in self._processes() if isinstance(process, ControlProcess)]
 
     def edges(self) -> list[Process]:
         """The edge processes that run."""
-        return [each for each in self._processes() if not isinstance(each, ControlProcess)]
+        return [process for process in self._processes() if not isinstance(process, ControlProcess)]
 
     def _processes(self) -> list[Process]:
         processes = (machine.process for machine in self.machines.values())
-        return [each for each in processes if each is not None and each.is_running]
+        return [process for process in processes if process is not None and process.is_running]
 
     def control_machines(self) -> list[Machine]:
         """The control machines that were not removed."""
-        return [each for each in self.machines.values() if each.is_control and not each.is_removed]
+        return [machine for machine in self.machines.values() if machine.is_control and not machine.is_removed]
 
     def edge_machines(self) -> list[Machine]:
         """The edge machines."""
-        return [each for each in self.machines.values() if not each.is_control]
+        return [machine for machine in self.machines.values() if not machine.is_control]
 
     # --- machines -----------------------------------------------------------------------------------
 
@@ -763,14 +763,14 @@
     def is_whole(self, besides: Machine) -> bool:
         """Whether every other control machine has stored the same settled view with all in it: one may be lost."""
         machines = self.control_machines()
-        others = [each for each in machines if each is not besides]
+        others = [machine for machine in machines if machine is not besides]
         accepted = others[0].durable.accepted
-        everybody = {each.member for each in machines}
+        everybody = {machine.member for machine in machines}
         if accepted is None or set(accepted.replicas) != everybody or set(accepted.witnesses) != everybody:
             return False
         return all(
-            each.durable.accepted == accepted and each.durable.in_force and each.durable.installed == accepted.epoch
-            for each in others
+            other.durable.accepted == accepted and other.durable.in_force and other.durable.installed == accepted.epoch
+            for other in others
         )
 
     # --- links --------------------------------------------------------------------------------------
@@ -778,7 +778,9 @@
     def cut(self, sources: Iterable[Machine], targets: Iterable[Machine], passage: Passage) -> Trouble:
         """Packets of these machines to those are lost or held from now on."""
         self.watcher.on_change()
-        trouble = self.network.add_trouble([each.ip for each in sources], [each.ip for each in targets], passage)
+        trouble = self.network.add_trouble(
+            [source.ip for source in sources], [target.ip for target in targets], passage
+        )
         self.watcher.on_change()
         return trouble
 
--- a/tests/support/system_processes.py
+++ b/tests/support/system_processes.py
@@ -103,7 +103,7 @@
             name=node.name, role="control-plane" if node.is_control else "data-plane",
             node_class="core" if node.is_control else "edge", ip=node.ip, zone=node.zone, region=ZONES[node.zone],
             serves=json.dumps(["control", "directory"] if node.is_control else ["edge"]), disk=disk,
-            seeds=json.dumps([each.address(CONTROL_PORT) for each in CONTROLS]), bootstrap=json.dumps(bootstrap),
+            seeds=json.dumps([control.address(CONTROL_PORT) for control in CONTROLS]), bootstrap=json.dumps(bootstrap),
             zones="\n".join(f'{zone} = "{region}"' for zone, region in ZONES.items()), grace_s=GRACE_S,
             listen="\n".join(f'{name} = "{node.address(port)}"' for name, port in listen.items()),
         )  # fmt: skip
@@ -141,7 +141,7 @@
         """A worker that has registered."""
         address = Address(host(30 + number), WORKER_PORT)
         spec = WorkerSpec(f"i-{number}", service, address, zone, pause_s=0.0, heartbeat_s=0.3)
-        worker = EmulatedWorker(spec, [Address(each.ip, CONTROL_PORT) for each in CONTROLS])
+        worker = EmulatedWorker(spec, [Address(control.ip, CONTROL_PORT) for control in CONTROLS])
         assert await worker.start() is None
         self.workers.append(worker)
         await worker.registered.wait()
@@ -151,7 +151,7 @@
 
     async def order(self, method: str, path: str, body: Any = None, if_match: int | None = None) -> ControlAnswer:
         """A call of the operator, sent again until somebody answers it."""
-        client = ControlClient([Address(each.ip, CONTROL_PORT) for each in CONTROLS], DEADLINE_S)
+        client = ControlClient([Address(control.ip, CONTROL_PORT) for control in CONTROLS], DEADLINE_S)
         headers = {} if if_match is None else {"If-Match": str(if_match)}
         content = b"" if body is None else json.dumps(body).encode()
         answer = await asyncio.to_thread(client.send, ControlRequest(method, path, content, headers))
@@ -189,11 +189,11 @@
         """Look again whenever a process ends or a moment is over, until the condition holds."""
         async with asyncio.timeout(DEADLINE_S):
             while not await condition():
-                running = [each for each in self.processes.values() if each.returncode is None]
-                exits = [asyncio.ensure_future(each.wait()) for each in running]
+                running = [process for process in self.processes.values() if process.returncode is None]
+                exits = [asyncio.ensure_future(host.wait()) for host in running]
                 await asyncio.wait(exits, timeout=LOOK_EVERY_S, return_when=asyncio.FIRST_COMPLETED)
-                for each in exits:
-                    each.cancel()
+                for exit in exits:
+                    exit.cancel()
 
     async def until_ready(self, *edges: Node) -> None:
         """Until each of these data-plane processes takes clients."""
@@ -209,7 +209,7 @@
 
         async def look() -> bool:
             statuses = [await self.status(node) for node in CONTROLS]
-            return any(each is not None and len(each["replicas"]) == count for each in statuses)
+            return any(status is not None and len(status["replicas"]) == count for status in statuses)
 
         await self.until(look)
 
