--- a/tests/scheduler/test_protocol_table.py
+++ b/tests/scheduler/test_protocol_table.py
@@ -18,7 +18,7 @@
 # What a client sends; the field of RequestArrived and its value; what the target must be sent, if anything.
 TABLE: dict[str, tuple[bytes, str, Any, bytes]] = {
     "X-Call-Id": (job(call_id="id-7"), "job", "0", b"X-Call-Id: id-7\r\n"),
-    "X-Call-Class": (job("book"), "job_class", "book", b"X-Call-Class: book\r\n"),
+    "X-Call-Class": (job("book"), "request_class", "book", b"X-Call-Class: book\r\n"),
     "X-Caller": (job(extra="X-Caller: acme\r\n"), "tenant", "acme", b"X-Caller: acme\r\n"),
     "no X-Caller": (job(), "tenant", None, b""),
     "sid": (job(), "key", "k1", b"POST /api?sid=k1&x=%20y HTTP/1.1\r\n"),
--- a/tests/support/broken_scheduler.py
+++ b/tests/support/broken_scheduler.py
@@ -9,5 +9,5 @@
 from tests.support.lab import RunsTwice
 
 if __name__ == "__main__":
-    setattr(program, "Core", RunsTwice)  # noqa: B010 - mypy rightly minds a plain assignment
+    setattr(program, "RequestCoordinator", RunsTwice)  # noqa: B010 - mypy rightly minds a plain assignment
     sys.exit(main())
