--- a/canvasbeam/cli/lab.py
+++ b/canvasbeam/cli/lab.py
@@ -55,7 +55,9 @@
 
     scenarios = [load(path.stem) for path in sorted(SHIPPED.glob("*.toml"))]
     if as_json:
-        records = [{"name": each.name, "about": each.about, "length_s": each.length_s} for each in scenarios]
+        records = [
+            {"name": scenario.name, "about": scenario.about, "length_s": scenario.length_s} for scenario in scenarios
+        ]
         click.echo(json.dumps(records))
         return
     for scenario in scenarios:
@@ -200,7 +202,7 @@
         key, equals, values = pair.partition("=")
         if not equals:
             raise click.BadParameter(f"{pair!r} is not key=value,value")
-        grid[key] = [parse_value(each) for each in values.split(",")]
+        grid[key] = [parse_value(part) for part in values.split(",")]
     try:
         numbers = experiments.seeds_of(seeds)
     except ValueError as error:
--- a/canvasbeam/data_plane/shutdown.py
+++ b/canvasbeam/data_plane/shutdown.py
@@ -54,7 +54,7 @@
     """Decides which requests may still be taken, and ends the process in order. Times come from `now_ns`."""
 
     def __init__(self, settings: ProcessSettings, now_ns: Callable[[], int]) -> None:
-        self._phases = PlannedShutdown(shutdown_times(settings), [each.value for each in RouteKind])
+        self._phases = PlannedShutdown(shutdown_times(settings), [kind.value for kind in RouteKind])
         self._stream_times = ServiceTimes(ASSUMED_TOKEN_NS)
         self._now_ns = now_ns
         self._last_request_ns = 0
--- a/canvasbeam/scheduler/configuration.py
+++ b/canvasbeam/scheduler/configuration.py
@@ -82,7 +82,7 @@
 def read_peers(configuration: Configuration, settings: Settings) -> PeerSettings | None:
     """Return the operator's file on peers, or None: without one, or where the settings forbid them.
 
-    Raises `ValueError`, which says what is wrong. Imported only where it is used: a scheduler without peers pays nothing.
+    Raises `ValueError`, which says what is wrong. Imported only here: a scheduler without peers pays nothing for it.
     """
     if not configuration.peers or not settings.limits.peers:
         return None
--- a/canvasbeam/scheduler/limits.py
+++ b/canvasbeam/scheduler/limits.py
@@ -152,7 +152,10 @@
         allowed, schedulers = settings.limits, settings.dispatchers
         asking = schedulers if settings.discovery is Discovery.ASKED else 1
         idle = allowed.idle_connection_ns
-        kill = min(span_of(max(each.deadline_ns for each in settings.classes)), KILL_LONGEST) + KILL_SLACK
+        kill = (
+            min(span_of(max(request_class.deadline_ns for request_class in settings.classes)), KILL_LONGEST)
+            + KILL_SLACK
+        )
         return cls(
             # The program itself takes 10 to 16 MB; a body stands in up to four places on its way.
             bodies=(memory_mb - 16) * 1024 * 1024 // 4,
--- a/canvasbeam/scheduler/request_coordinator.py
+++ b/canvasbeam/scheduler/request_coordinator.py
@@ -288,7 +288,7 @@
         effect = self._classes[request.request_class].effect
         attempt = Attempt(request, len(request.attempts), worker_name, self.loop.now, effect)
         # What was not sent in full never came to a worker, and is no attempt to it.
-        tries = sum(each.outcome is not Outcome.UNSENT for each in request.attempts)
+        tries = sum(attempt.outcome is not Outcome.UNSENT for attempt in request.attempts)
         out_of_tries = tries >= self.settings.limits.max_attempts
         request.attempts.append(attempt)
         worker = self.workers.get(worker_name)
@@ -305,7 +305,7 @@
 
     def _fail(self, request: Request | None) -> None:
         if request is not None:
-            waited = any(each.outcome in (None, Outcome.TIMED_OUT) for each in request.attempts)
+            waited = any(attempt.outcome in (None, Outcome.TIMED_OUT) for attempt in request.attempts)
             self._end(request, Answer.OVERDUE if waited else Answer.FAILED)
 
     def _cancel(self, request: Request | None, number: int) -> None:
--- a/canvasbeam/scheduler/request_table.py
+++ b/canvasbeam/scheduler/request_table.py
@@ -59,7 +59,7 @@
         self.limits = limits
         self.settings = settings
         self.decisions = decisions
-        self._classes = {each.name: each for each in settings.classes}
+        self._classes = {request_class.name: request_class for request_class in settings.classes}
         self._shutdown = PlannedShutdown(shutdown_times(limits), self._classes)
         self._requests: SlotTable[Request] = SlotTable()
         self._identities: set[str] = set()
@@ -206,7 +206,9 @@
         request.answer(answer)
 
     def _log_fixed(self, request: Request, answer: FinalAnswer) -> None:
-        tried = ", ".join(f"{each.worker} {each.outcome.value if each.outcome else 'out'}" for each in request.attempts)
+        tried = ", ".join(
+            f"{attempt.worker} {attempt.outcome.value if attempt.outcome else 'out'}" for attempt in request.attempts
+        )
         left = (request.due - self.loop.now).total_seconds()
         log.info("%s %s, %.3f s left, tried: %s", request.request_class, answer.kind.value, left, tried or "none")
 
