--- a/canvasbeam/replication/calls.py
+++ b/canvasbeam/replication/calls.py
@@ -1,6 +1,6 @@
-"""The operator's calls that wait for an answer: on the primary, or while it changes its view.
+"""Operator calls that wait for a reply, at the primary or while the primary changes its view.
 
-Limits are those of one member: a call beyond them is answered at once with a failure.
+The limits apply to one member; a call beyond the limits fails at once.
 """
 
 from __future__ import annotations
@@ -14,42 +14,42 @@
 from canvasbeam.replication.messages import Reply
 
 MAX_PENDING_CALLS = 64
-MAX_BYTES_IN_FLIGHT = 8 << 20  # of changes that are not committed
+MAX_BYTES_IN_FLIGHT = 8 << 20  # total size of uncommitted changes
 
 
 @dataclass(slots=True)
 class PendingCall:
-    """A call that waits: for an index to be committed, and for a confirmation where `sequence` is above 0."""
+    """A call that waits until `index` is committed and, if `sequence` > 0, that heartbeat round is confirmed."""
 
     call: int
     began: int
     index: int = 0
     sequence: int = 0
     failure: Failure | None = None
-    change: Change | None = None  # of a call that no primary has looked at yet
+    change: Change | None = None  # change of a deferred call that no primary has processed yet
 
 
 class HeldCalls:
-    """The calls of a primary that changes its view: those that it had, and further ones within the limits."""
+    """Calls deferred while a primary changes its view: its pending calls, and new calls within the limits."""
 
     def __init__(self, pending: Sequence[PendingCall]) -> None:
         self.pending = list(pending)
 
     def hold(self, call: PendingCall) -> bool:
-        """Keep one more call; return False where there is no capacity for it."""
+        """Add a call; return False if the call would exceed the limits."""
         if not self._has_capacity_for(call):
             return False
         self.pending.append(call)
         return True
 
     def _has_capacity_for(self, call: PendingCall) -> bool:
-        """Return whether the limits allow the call; a first change may have any size."""
+        """Return True if the limits allow the call; a single change may have any size."""
         sizes = [change_size(held.change) for held in (*self.pending, call) if held.change is not None]
         return len(self.pending) < MAX_PENDING_CALLS and (len(sizes) <= 1 or sum(sizes) <= MAX_BYTES_IN_FLIGHT)
 
 
 def replies_to_lost(pending: Sequence[PendingCall]) -> list[Reply]:
-    """Return the answers to the calls of a member that stops leading; one never looked at may be retried safely."""
+    """Return failures for the calls of a member that stops leading; NO_PRIMARY marks calls that are safe to retry."""
     lost = Failure(ResultCode.PRIMARY_LOST, "the primary stopped leading before the call was answered")
     unseen = Failure(ResultCode.NO_PRIMARY, "the primary stopped leading before it looked at the call")
     return [Reply(call.call, lost if call.change is None else unseen) for call in pending]
--- a/canvasbeam/replication/candidate.py
+++ b/canvasbeam/replication/candidate.py
@@ -1,19 +1,21 @@
-"""A candidate changes the view: from the pre-vote to a view that is in force.
+"""State machine of a candidate: changes the view, from the pre-vote until the new view is in force.
 
-| phase | waits for | then |
+| phase | waits for | next phase |
 | --- | --- | --- |
-| PRE_VOTING | a quorum of the base view that finds the primary unresponsive | PREPARING |
-| PREPARING | promises of a quorum of the base view, of an intact replica, and briefly of the others | FETCHING |
+| PRE_VOTING | a quorum of the base view whose members find the primary unresponsive | PREPARING |
+| PREPARING | promises from a quorum and an up-to-date replica of the base view; the rest only briefly | FETCHING |
 | FETCHING | the state of the most advanced replica that promised | INSTALLING |
-| INSTALLING | every new replica to have the state on its disk | ACCEPTING |
-| ACCEPTING | a quorum of the new view, and so of the old witnesses, to accept it | WON |
+| INSTALLING | every replica of the new view to have the state on its disk | ACCEPTING |
+| ACCEPTING | acceptances from a majority of the new witnesses and from a majority of the previous ones | WON |
 | WON, LOST | nothing: the member becomes the primary, or a follower | |
 
-The base view is the highest view known. One that a promise tells of takes its place, and its members are asked too.
-The pre-vote is that of Ongaro's thesis on Raft, section 9.6; a sitting primary that changes its own view needs none.
-Promises and acceptances are those of Paxos (Lamport, "Paxos Made Simple", 2001), whose value is the view.
+The base view is the highest view known to the candidate. A higher view reported in a response replaces the base view,
+and the candidate then asks the members of that view too. The pre-vote is that of Ongaro's thesis on Raft, section 9.6;
+an acting primary that changes its own view skips the pre-vote. Promises and acceptances are those of Paxos (Lamport,
+"Paxos Made Simple", 2001), whose value is the view.
 
-Owns one attempt with one epoch. It never touches the member's own witness or replica: it only asks, and is answered.
+Owns one attempt in one epoch. The candidate must not change its own member's witness or replica: it only sends requests
+and processes the responses.
 """
 
 from __future__ import annotations
@@ -44,7 +46,7 @@
 
 
 class Phase(Enum):
-    """What a candidate waits for."""
+    """Phase of a candidate's attempt; see the table in the module docstring."""
 
     PRE_VOTING = auto()
     PREPARING = auto()
@@ -55,7 +57,8 @@
     LOST = auto()
 
 
-# Of a base view, whether it is in force, the epoch, who promised, and the time: the view to propose.
+# Arguments: base view, whether the base view is in force, epoch, healthy members that promised, time in nanoseconds.
+# Returns the view to propose, or None if the candidate should wait for more promises.
 PlanView = Callable[[View, bool, Epoch, frozenset[MemberId], int], View | None]
 
 
@@ -98,11 +101,11 @@
         self._accepted: set[MemberId] = set()
 
     def begin(self, pre_vote: bool, now: int) -> list[Send]:
-        """Ask the others: first for pre-votes, or at once for their promises."""
+        """Return the first requests: for pre-votes, or for promises if `pre_vote` is False."""
         return self._enter(Phase.PRE_VOTING if pre_vote else Phase.PREPARING, now)
 
     def handle(self, sender: MemberId, message: Message, now: int) -> list[Send]:
-        """Take an answer. Answers to other candidates or earlier attempts change nothing."""
+        """Process a response. Responses to other candidates or to earlier attempts have no effect."""
         match message:
             case PreVote(number=number) if self.phase is Phase.PRE_VOTING and number == self.epoch.number:
                 return self._take_pre_vote(sender, message, now)
@@ -119,7 +122,7 @@
         return []
 
     def tick(self, now: int) -> list[Send]:
-        """Ask again, go on without the unresponsive, or give up."""
+        """Resend unanswered requests, proceed without unresponsive members, or fail at the phase timeout."""
         if self.phase in (Phase.WON, Phase.LOST):
             return []
         if now - self._phase_since > self._timing.phase_timeout_ns:
@@ -130,42 +133,42 @@
         return sends
 
     def awaits(self, message: Fetched) -> bool:
-        """Return whether this is the state that the candidate asked for."""
+        """Return True if `message` carries the state that the candidate requested."""
         return self.phase is Phase.FETCHING and message.epoch == self.epoch
 
     def record_progress(self, now: int) -> None:
-        """Record that chunks of a state still move, so that the phase does not time out."""
+        """Restart the phase timeout because chunks of a state are still being transferred."""
         if self.phase in (Phase.FETCHING, Phase.INSTALLING):
             self._phase_since = now
 
     def has_promise(self, member: MemberId) -> bool:
-        """Return whether a healthy member promised in time."""
+        """Return True if the member promised the epoch in the PREPARING phase and its disk is healthy."""
         answer = self._promises.get(member)
         return answer is not None and answer.healthy
 
     def holds_source_state(self, member: MemberId) -> bool:
-        """Return whether the member has the state that the view will begin with."""
+        """Return True if the member's replica has the state with which the new view will begin."""
         source = self._best_source()
         answer = self._promises.get(member)
         return source is not None and answer is not None and answer.position == self._promises[source].position
 
     def replicas_without_state(self) -> list[MemberId]:
-        """Return the new replicas that have not stored the state."""
+        """Return the replicas of the new view that have not confirmed the state; empty outside the INSTALLING phase."""
         if self.view is None or self.phase is not Phase.INSTALLING:
             return []
         return [member for member in self.view.replicas if member not in self._installed]
 
     def provide_state(self, state: ControlState, now: int) -> list[Send]:
-        """Take the state of the candidate's own replica, which is the most advanced one."""
+        """Continue with the state of this member's own replica, which is the most advanced replica."""
         return self._take_state(self.source_position, state, now)
 
     @property
     def wants_own_state(self) -> bool:
-        """Whether the member should call `provide_state`."""
+        """True if the member should call `provide_state`."""
         return self.phase is Phase.FETCHING and self.source == self.me
 
     def _enter(self, phase: Phase, now: int) -> list[Send]:
-        """Change the phase; the only place that does. Return what the new one asks."""
+        """Change the phase and return the requests of the new phase. No other method changes the phase."""
         self.phase = phase
         self.has_prepared = self.has_prepared or phase is Phase.PREPARING
         self._phase_since = now
@@ -173,7 +176,7 @@
         return self._ask(now)
 
     def _ask(self, now: int) -> list[Send]:
-        """Return what the present phase asks of those that have not answered."""
+        """Return the requests of the current phase to the members that have not answered."""
         self._last_sent = now
         match self.phase:
             case Phase.PRE_VOTING:
@@ -199,7 +202,7 @@
         return tuple(dict.fromkeys((self.me, *self.base.members)))
 
     def _learn(self, view: View | None, in_force: bool) -> bool:
-        """Build on a higher view where an answer tells of one; true where there are new members to ask."""
+        """Replace the base view if `view` is higher; return True if the new base view's members must be asked."""
         if view is None or view.epoch < self.base.epoch:
             return False
         if view.epoch == self.base.epoch:
@@ -254,9 +257,9 @@
         return self._enter(Phase.FETCHING, now)
 
     def _best_source(self) -> MemberId | None:
-        """Return the most advanced replica that promised and has at least the base view's state; itself where equal.
+        """Return the most advanced replica that promised and has at least the base view's state; on a tie, this member.
 
-        A member that was only catching up in the base view may lack what that view acknowledged.
+        A member that was only catching up in the base view may lack changes that the base view acknowledged.
         """
         best: MemberId | None = None
         for member, answer in self._promises.items():
@@ -281,7 +284,7 @@
         return self._enter(Phase.INSTALLING, now)
 
     def _is_elsewhere(self, member: MemberId) -> bool:
-        """Return whether the member answered that it is not at the source's position; one that was not asked may be."""
+        """Return True if the member reported another position than the source's; False also if it reported none."""
         answer = self._promises.get(member)
         return answer is not None and answer.position != self.source_position
 
@@ -303,7 +306,7 @@
         return self._enter(Phase.ACCEPTING, now)
 
     def _renew_promises(self) -> list[Send]:
-        """Ask again for promises while a large state moves, so that no time-out takes the primary for lost."""
+        """Resend `Prepare` while a large state is transferred, so that no member's election timer expires."""
         if self.phase not in (Phase.FETCHING, Phase.INSTALLING):
             return []
         overdue = set(self.replicas_without_state())
--- a/canvasbeam/replication/candidate_role.py
+++ b/canvasbeam/replication/candidate_role.py
@@ -1,7 +1,7 @@
-"""The role of a candidate, and of a primary that changes its view: makes attempts until one wins or is lost.
+"""The role of a candidate, or of a primary that changes its view: makes attempts until one is won or lost.
 
-Owns the present attempt (`candidate.Candidate`) and, while a view is reformed, the calls that wait for it. A replica
-that does not store the state in time is left out of the next attempt.
+Owns the current attempt (`candidate.Candidate`) and, while a primary changes its view, the deferred calls. A replica
+that does not store the state in time is excluded from the next attempt.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 
 class CandidateRole(RoleMachine):
-    """The machine of the roles CANDIDATE and REFORMING."""
+    """The state machine of the roles CANDIDATE and REFORMING."""
 
     def __init__(self, shared: SharedState, base: View, reformed: Primary | None, now: int) -> None:
-        """`reformed` is the primary whose view is changed; it acts no more."""
+        """Prepare an attempt. `reformed` is the inactive primary whose view is changed, or None for a candidate."""
         super().__init__(Role.CANDIDATE if reformed is None else Role.REFORMING, shared)
         self._held = None if reformed is None else HeldCalls(reformed.pending)
         self._caught_up = None if reformed is None else reformed.catch_up.nearly_caught_up_members(now)
@@ -31,15 +31,15 @@
 
     @property
     def pending(self) -> Sequence[PendingCall]:
-        """The calls that wait for the reformed view."""
+        """Operator calls that are deferred until the new view is in force."""
         return () if self._held is None else self._held.pending
 
     def begin(self, now: int) -> Outcome:
-        """Ask the others: a candidate for pre-votes, a primary at once for promises."""
+        """Start the attempt: a candidate requests pre-votes, a primary requests promises without a pre-vote."""
         return self._follow(self.candidate.begin(pre_vote=self.role is Role.CANDIDATE, now=now), now)
 
     def tick(self, now: int) -> Outcome:
-        """Go on without those that are overdue; where only replicas were, begin another attempt without them."""
+        """Advance the attempt; if replicas did not store the state in time, begin a new attempt without them."""
         overdue = self.candidate.replicas_without_state()
         sends = self.candidate.tick(now)
         view = self._shared.known_view.view
@@ -51,33 +51,33 @@
         return self._follow(self.candidate.begin(pre_vote=False, now=now), now)
 
     def take_answer(self, sender: MemberId, answer: Answer, now: int) -> Outcome:
-        """Give an answer to the present attempt."""
+        """Pass an answer to the current attempt."""
         return self._follow(self.candidate.handle(sender, answer, now), now)
 
     def awaits(self, answer: Answer) -> bool:
-        """Return whether the answer is to a call of the present attempt."""
+        """Return True if the answer responds to a request of the current attempt."""
         if isinstance(answer, PreVote):
             return answer.number == self.candidate.epoch.number
         return answer.epoch == self.candidate.epoch
 
     def awaits_state(self, answer: Fetched) -> bool:
-        """Return whether the present attempt waits for this state."""
+        """Return True if the current attempt waits for this state."""
         return self.candidate.awaits(answer)
 
     def record_progress(self, now: int) -> None:
-        """Record that a chunk moved, so that the phase does not time out."""
+        """Restart the phase timeout because a snapshot chunk was transferred."""
         self.candidate.record_progress(now)
 
     def submit(self, call: int, change: Change, now: int) -> list[Action]:
-        """Let a change wait for the reformed view, or refuse it."""
+        """Defer a change until the new view is in force, or refuse the change."""
         return self._hold_or_refuse(PendingCall(call, now, change=change))
 
     def read(self, call: int, now: int) -> list[Action]:
-        """Let a read wait for the reformed view, or refuse it."""
+        """Defer a read until the new view is in force, or refuse the read."""
         return self._hold_or_refuse(PendingCall(call, now, sequence=1))
 
     def is_caught_up(self, member: MemberId, now: int) -> bool:
-        """Return whether the member had nearly everything in the reformed view, or now holds the source's state."""
+        """Return True if the member was nearly caught up in the old view or, for a candidate, has the source state."""
         del now
         if self._caught_up is not None:
             return member in self._caught_up
@@ -102,12 +102,12 @@
         )
 
     def _follow(self, sends: Sequence[Send], now: int) -> Outcome:
-        """Do what the attempt asks of its own member, and tell how it ended where it did."""
+        """Perform the attempt's steps on this member's witness and replica; return the actions and any end event."""
         candidate = self.candidate
         shared = self._shared
         actions: list[Action] = [*sends]
         if candidate.phase is Phase.PREPARING and shared.witness.promised < candidate.epoch:
-            # The candidate's own promise is synced before it asks others, so that no epoch is used twice.
+            # `Prepare` is sent only after this member's own promise is synced, so that no epoch is ever used twice.
             shared.witness.promise(candidate.epoch)
             actions.insert(0, shared.witness.to_save())
         if candidate.wants_own_state:
--- a/canvasbeam/replication/follower.py
+++ b/canvasbeam/replication/follower.py
@@ -1,7 +1,7 @@
-"""The follower: it leads nothing, and stands when its election timer expires; a hello asks others for the view.
+"""The follower role: starts a candidacy when the election timer expires, and sends hellos to learn the view.
 
-Owns the time of its last hello alone. It must never promise, accept or store: that is done in every role alike
-(`responder.Responder`).
+Owns only the time of its last hello. The follower must not promise, accept or store anything:
+`responder.Responder` does so in the same way for every role.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 
 class Follower(RoleMachine):
-    """The machine of the role FOLLOWER; one serves for the whole run of the process."""
+    """The state machine of the role FOLLOWER; a member keeps one instance as long as the process runs."""
 
     def __init__(self, shared: SharedState) -> None:
         super().__init__(Role.FOLLOWER, shared)
         self._last_hello = 0
 
     def enter(self, event: RoleEvent, pending: Sequence[PendingCall], now: int) -> list[Action]:
-        """End the calls of the role before, and wait for a primary anew.
+        """Fail the calls of the previous role, and restart the election timer.
 
-        After a lost pre-vote, which did no harm, the election timer waits for this member's turn alone.
+        After a lost pre-vote, which left no promises behind, the timer waits only for this member's delay by rank.
         """
         shared = self._shared
         shared.election.restart(shared.known_view.view, now)
@@ -36,7 +36,7 @@
         return [*replies_to_lost(pending)]
 
     def tick(self, now: int) -> Outcome:
-        """Forget a primary that is long unresponsive, stand for primary, or say hello."""
+        """Forget a primary that has expired; start a candidacy if the election timer expired, or send a due hello."""
         shared = self._shared
         if shared.election.is_primary_expired(now):
             shared.known_primary.forget()
@@ -48,7 +48,7 @@
         return Outcome()
 
     def _may_stand(self) -> bool:
-        """Return whether this member may lead: its disk works, it stays, and it is a witness of the known view."""
+        """Return True if this member may lead: it is healthy, not leaving, and a witness of the known view."""
         shared = self._shared
         if not shared.healthy or shared.departure.has_begun:
             return False
--- a/canvasbeam/replication/member.py
+++ b/canvasbeam/replication/member.py
@@ -1,10 +1,10 @@
-"""One member of the replicated control state: events and the time in, actions out.
+"""One member of the replicated control state: receives events and the time, and returns actions.
 
-`roles.TRANSITIONS` says which event ends which role; `Member._become` is the only place where the role changes. What
-depends on the role is decided by its machine: `follower.Follower`, `candidate_role.CandidateRole` or
-`primary_role.PrimaryRole`. What does not (promises, votes, heartbeats, snapshots, the end of a member) is decided here
-and by the parts of `shared_state.SharedState`. A message that vouches for the disk is held back by the driver until
-what was saved before it is synced (`durability.Outbox`).
+`roles.TRANSITIONS` defines which event ends which role; only `Member._become` changes the role. Decisions that depend
+on the role are made by the role's state machine: `follower.Follower`, `candidate_role.CandidateRole` or
+`primary_role.PrimaryRole`. All other decisions (promises, votes, heartbeats, snapshots, the shutdown of a member) are
+made by `Member` and the parts of `shared_state.SharedState`. The driver delays a message that confirms stored data
+until every earlier save is synced (`durability.Outbox`).
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
 
 
 class Member:
-    """The façade: gives each event to the part or the machine that it concerns."""
+    """Facade that passes each event to the responsible part or state machine."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         *,
         codec: StateCodec | None = None,
     ) -> None:
-        self.stale_answers = 0  # to calls of earlier candidacies and views
+        self.stale_answers = 0  # answers to requests of earlier candidacies and views
         self._shared = SharedState(
             settings,
             durable,
@@ -84,37 +84,37 @@
         self._machine: RoleMachine = self._follower
         self._last_tick = now
 
-    # --- what others may know of the member -------------------------------------------------------------------
+    # --- properties -------------------------------------------------------------------------------------------
 
     @property
     def me(self) -> MemberId:
-        """The member's own name."""
+        """The id of this member."""
         return self._shared.me
 
     @property
     def role(self) -> Role:
-        """The present role."""
+        """The current role."""
         return self._machine.role
 
     @property
     def state(self) -> SharedState:
-        """What the member has in every role: its promises, its copy of the state, and what it knows of the others."""
+        """The parts that exist in every role: witness, replica, and information about the other members."""
         return self._shared
 
     @property
     def leadership(self) -> Primary | None:
-        """What the member does as the primary; none while it is not."""
+        """The `Primary` of the view that this member leads; None in any other role."""
         return self._machine.primary if isinstance(self._machine, PrimaryRole) else None
 
     # --- events -----------------------------------------------------------------------------------------------
 
     def begin(self) -> list[Action]:
-        """Tell, as the first event, the state that was known to be committed when this member last ran."""
+        """Publish the state that was known to be committed before the restart. Must be the first event."""
         committed = self._shared.replica.committed
         return [Publish(committed)] if committed.index else []
 
     def receive(self, sender: MemberId, message: Message, now: int) -> list[Action]:
-        """Take a message of another member, or of this one."""
+        """Process a message from another member or from this one."""
         self._record_sender(sender, message, now)
         match message:
             case Hello():
@@ -140,7 +140,7 @@
         return self._on_answer(sender, message, now)
 
     def tick(self, now: int) -> list[Action]:
-        """Act on the time that has passed. Ticks further apart than `stall_after_ns` mean that this process stalled."""
+        """Process the passage of time. A gap above `stall_after_ns` between ticks means that this process stalled."""
         shared = self._shared
         self._discount_stall(now)
         shared.snapshots.tick(now)
@@ -149,26 +149,26 @@
         return [*farewells, *requests, *self._carry_out(self._machine.tick(now), now)]
 
     def submit(self, call: int, change: Change, now: int) -> list[Action]:
-        """Take a change that the operator orders; a `Reply` with the number of the call answers it."""
+        """Submit a change ordered by the operator; the result is a `Reply` with the number of the call."""
         return self._machine.submit(call, change, now)
 
     def read(self, call: int, now: int) -> list[Action]:
-        """Take the operator's question for the newest state; a `Reply` with the number of the call answers it."""
+        """Read the newest committed state for the operator; the result is a `Reply` with the number of the call."""
         return self._machine.read(call, now)
 
     def set_seed_ips(self, seed_ips: tuple[str, ...]) -> None:
-        """Take other addresses to say hello to."""
+        """Replace the seed addresses, to which hellos are sent."""
         self._shared.seed_ips = seed_ips
 
     def set_healthy(self, healthy: bool, now: int) -> list[Action]:
-        """Take note that the disk works, or stalls, fails or is full. Without its disk a member does not lead."""
+        """Record whether the disk works. A member whose disk stalls, fails or is full must not lead, so it resigns."""
         self._shared.healthy = healthy
         if healthy or self.role is Role.FOLLOWER:
             return []
         return self.resign(now)
 
     def resign(self, now: int) -> list[Action]:
-        """Stop leading, and let the others know."""
+        """Stop leading, and notify the other members."""
         known_view = self._shared.known_view
         epoch = known_view.epoch
         others = dict.fromkeys((*known_view.members, *self._shared.liveness.usable_outside(known_view.members, now)))
@@ -179,25 +179,25 @@
         return actions
 
     def leave(self, now: int) -> list[Action]:
-        """Hand the view on, and ask to be released (`departure.may_end`): the process is to end, perhaps for good."""
+        """Resign and request a grant to leave (`departure.may_end`): the process will end, perhaps permanently."""
         farewells = self._shared.departure.begin(self._shared.known_view.view, self._shared.liveness, now)
         return [*farewells, *(self.resign(now) if self.role is not Role.FOLLOWER else [])]
 
     def removal(self, ip: str, now: int) -> Removal | Failure:
-        """Return, as the primary, how far the removal of the member at an address is, or why it may not be removed."""
+        """Return the progress of removing the member at an address, or a failure; only the primary can decide."""
         if isinstance(self._machine, PrimaryRole):
             return self._machine.removal(ip, now)
         return self._shared.known_primary.refusal()
 
     def request_leave(self, ip: str) -> list[Action]:
-        """Tell the members at an address to leave; it may be this one."""
+        """Ask all members at an address to leave; this member may be one of the receivers."""
         members = (*self._shared.known_view.members, *self._shared.liveness.known())
         return [Send(member, LeaveRequested()) for member in at_address(ip, members)]
 
-    # --- the role ---------------------------------------------------------------------------------------------
+    # --- role changes -----------------------------------------------------------------------------------------
 
     def _carry_out(self, outcome: Outcome, now: int) -> list[Action]:
-        """Return a machine's actions, followed by those of the change of role that it asks for."""
+        """Return the actions of an outcome, followed by the actions of the role change caused by its event."""
         if outcome.event is None:
             return [*outcome.actions]
         if outcome.event is RoleEvent.UNABLE_TO_LEAD:
@@ -205,7 +205,7 @@
         return [*outcome.actions, *self._become(outcome.event, now)]
 
     def _become(self, event: RoleEvent, now: int) -> list[Action]:
-        """Change the role as the table says, and begin the new one. The only place where the role changes."""
+        """Change the role by `TRANSITIONS`, and begin the new role. No other method changes the role."""
         left = self._machine
         view = self._shared.known_view.view
         match TRANSITIONS[left.role, event]:
@@ -222,7 +222,7 @@
         return self._follower.enter(event, left.pending, now)
 
     def _yield_to(self, sender: MemberId, now: int) -> list[Action]:
-        """Follow another member that leads, or is about to, in an epoch that this member does not refuse."""
+        """Restart the election timer and step down for a primary or candidate whose epoch is not refused."""
         self._shared.election.record_sign_of_primary(self._shared.known_view.view, now)
         if sender == self.me or self.role is Role.FOLLOWER:
             return []
@@ -232,9 +232,9 @@
         return self._machine.is_caught_up(member, now)
 
     def _discount_stall(self, now: int) -> None:
-        """Blame nobody for a stall of this process: what came meanwhile is read after this tick.
+        """Exclude a process stall from all timeouts: messages received during the stall are read only after this tick.
 
-        A primary that was replaced meanwhile still answers nothing old: its calls are confirmed by the witnesses.
+        A primary replaced during the stall still returns no stale state: the witnesses must confirm each of its calls.
         """
         stall = now - self._last_tick - self._shared.timing.stall_after_ns
         self._last_tick = now
@@ -244,7 +244,7 @@
         self._shared.election.discount_stall(stall)
         self._machine.discount_stall(stall)
 
-    # --- messages, whatever the role --------------------------------------------------------------------------
+    # --- messages handled in every role -----------------------------------------------------------------------
 
     def _record_sender(self, sender: MemberId, message: Message, now: int) -> None:
         healthy = message.healthy if isinstance(message, Hello | PreVote | Promise | HeartbeatAck) else None
@@ -252,7 +252,7 @@
         self._shared.epoch_numbers.observe(message)
 
     def _on_answer(self, sender: MemberId, answer: Answer, now: int) -> list[Action]:
-        """Give an answer to whoever made the call; one that nobody awaits is counted and dropped."""
+        """Pass an answer to the part that sent the request; count and drop an answer without a pending request."""
         is_awaited = (
             self._shared.departure.has_begun if isinstance(answer, LeaveGranted) else self._machine.awaits(answer)
         )
@@ -270,7 +270,7 @@
         return self._carry_out(self._machine.take_answer(sender, answer, now), now)
 
     def _respond(self, sender: MemberId, message: ToResponder, now: int) -> list[Action]:
-        """Obey, as a witness and a replica, whoever leads in an epoch that is not refused."""
+        """Answer a request as witness and replica; follow the sender unless its epoch is refused."""
         answers = self._responder.answer(sender, message, self._shared.healthy)
         if not isinstance(message, Prepare | Install | Accept) or self._shared.witness.refuses(epoch_of(message)):
             return answers
@@ -286,13 +286,13 @@
             return [Send(sender, Refused(message.epoch, newest))]
         yielding = self._yield_to(sender, now)
         known_primary.follow(sender, message.epoch)
-        # Says only that no higher epoch is promised, which memory knows no later than the disk.
+        # The ack needs no sync: it states only that no higher epoch is promised, and promises reach memory first.
         accepted = NO_EPOCH if witness.accepted is None else witness.accepted.epoch
         ack = HeartbeatAck(message.epoch, message.sequence, self._shared.healthy, accepted, witness.in_force)
         return [*yielding, Send(sender, ack), *self._commit(message.epoch, message.committed)]
 
     def _commit(self, epoch: Epoch, index: int) -> list[Action]:
-        """Tell that everything up to an index is committed, and store that, which nothing waits for."""
+        """Publish the state committed up to an index, and save the index; no answer depends on that save."""
         newer = self._shared.replica.commit(epoch, index)
         return [] if newer is None else [Publish(newer), SaveCommitted(newer.index)]
 
@@ -306,7 +306,7 @@
         return []
 
     def _on_leave(self, sender: MemberId, standbys: Collection[MemberId], now: int) -> list[Action]:
-        """Release a member that is to end, or tell it the view, and with it that this member is there."""
+        """Grant the sender's leave, or send the sender the view, which also shows that this member is alive."""
         self._shared.liveness.record_leaving(sender, now)
         granted = self._machine.release(sender, standbys, now)
         return [*self._shared.known_view.notices_for(sender)] if granted is None else [Send(sender, granted)]
@@ -314,7 +314,7 @@
     def _on_snapshot_message(self, sender: MemberId, message: FetchChunk | Chunk | Install, now: int) -> list[Action]:
         match message:
             case FetchChunk():
-                self._machine.record_progress(now)  # whoever asks for a chunk makes progress
+                self._machine.record_progress(now)  # a chunk request shows that the transfer makes progress
                 chunk = self._shared.snapshots.chunk(message)
                 return [] if chunk is None else [Send(sender, chunk)]
             case Chunk():
@@ -324,7 +324,7 @@
         return [*self._yield_to(sender, now), *self._shared.receiver.take_offer(sender, message, now)]
 
     def _on_chunk(self, chunk: Chunk, now: int) -> list[Action]:
-        """Keep a chunk; with the last one, take the message that waited for the state."""
+        """Store a chunk; after the last chunk, process the message that waited for the state."""
         self._machine.record_progress(now)
         complete = self._shared.receiver.take_chunk(chunk, now)
         if complete is None:
--- a/canvasbeam/replication/messages.py
+++ b/canvasbeam/replication/messages.py
@@ -1,7 +1,7 @@
-"""The messages between members, and the actions that a member asks of its driver. All are frozen values.
+"""Messages between members, and actions that a member returns to its driver. All are frozen values.
 
-Messages of `AFTER_SYNC` vouch for something on the sender's disk: they leave only after every `Save` before them is
-durable. `durability.Outbox` sees to that.
+Messages in `AFTER_SYNC` confirm data on the sender's disk: `durability.Outbox` sends them only after every earlier
+`Save` is durable.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """A member that has no sign of a primary makes itself known."""
+    """Announcement by a member that has no contact with a primary; `healthy` is True if the member's disk works."""
 
     healthy: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ViewNotice:
-    """The highest accepted view that the sender knows, for one that may not know it."""
+    """The highest accepted view known to the sender, for a receiver that may not know this view."""
 
     view: View
     in_force: bool
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PreVoteRequest:
-    """A candidate asks, without any promise, whether the others find the primary unresponsive too."""
+    """A candidate's question whether the receiver also finds the primary unresponsive; requires no promise."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class PreVote:
-    """The answer: whether the sender finds the primary unresponsive, and what it knows."""
+    """Answer to `PreVoteRequest`: whether the sender finds the primary unresponsive, and its known epoch and view."""
 
     number: int
     is_primary_unresponsive: bool
@@ -50,9 +50,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """A candidate asks for a promise to refuse all lower epochs.
+    """A candidate's request for a promise to refuse all lower epochs.
 
-    It has promised the epoch itself, so that it never uses one again after a crash.
+    The candidate has promised the epoch itself, so that it never reuses an epoch after a crash.
     """
 
     epoch: Epoch
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """The promise is on the sender's disk. `position` is that of its replica, which the promise fences."""
+    """A promise, stored on the sender's disk. `position` is that of the sender's replica, which the promise fences."""
 
     epoch: Epoch
     accepted: View | None
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The sender has promised a higher epoch."""
+    """Refusal of `epoch`: the sender has promised, or follows a primary in, the higher epoch `promised`."""
 
     epoch: Epoch
     promised: Epoch
@@ -79,14 +79,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """A candidate asks the most advanced replica for its state."""
+    """A candidate's request to the most advanced replica for its state."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotId:
-    """Stands for a state that is fetched in chunks: the digest and the length of its encoding."""
+    """Identifies a state that is fetched in chunks, by the digest and the size in bytes of its encoding."""
 
     digest: bytes
     size: int
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetched:
-    """The state of a replica that has promised the epoch."""
+    """Answer to `Fetch`: the state of a replica that has promised the epoch."""
 
     epoch: Epoch
     position: Position
@@ -103,9 +103,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Install:
-    """A replica shall begin the epoch with this state, or with its own where it is at `position` already.
+    """Request to a replica to begin the epoch with `state`, or with its own state if already at `position`.
 
-    A primary sends it in its own epoch to a member that is to join, to catch up before the view has it as a replica.
+    A primary also sends `Install` in its own epoch to a joining member, which catches up before becoming a replica.
     """
 
     epoch: Epoch
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Installed:
-    """The replica has begun the epoch, on its disk, and is at `index`; or it lacks the state (`stored` is false)."""
+    """Answer to `Install`: the replica stored the epoch and is at `index`, or lacks the state (`stored` is False)."""
 
     epoch: Epoch
     stored: bool
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """A witness shall accept a view. `in_force` says that it is so already."""
+    """Request to a witness to accept a view; `in_force` is True if the view is in force already."""
 
     view: View
     in_force: bool
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The view is on the sender's disk as its accepted view."""
+    """Answer to `Accept`: the view is on the sender's disk as the accepted view."""
 
     epoch: Epoch
     in_force: bool
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """The primary acts. `committed` is the index up to which everything is on all replicas."""
+    """Periodic message of the acting primary. All replicas of the view have stored the changes up to `committed`."""
 
     epoch: Epoch
     sequence: int
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatAck:
-    """The sender has not promised a higher epoch."""
+    """Answer to `Heartbeat`: the sender promised no higher epoch. `accepted` is the epoch of its accepted view."""
 
     epoch: Epoch
     sequence: int
@@ -160,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """Changes of the primary; the first leads from index `previous` to the next."""
+    """Changes replicated by the primary; the first change leads from index `previous` to the next index."""
 
     epoch: Epoch
     previous: int
@@ -170,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """All changes up to an index are on the sender's disk."""
+    """Answer to `Append`: all changes up to `index` are on the sender's disk."""
 
     epoch: Epoch
     index: int
@@ -178,14 +178,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Resign:
-    """The primary stops acting: others need not wait for its time-out."""
+    """Notice that the primary stops leading, so that the receivers need not wait for the election timeout."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class FetchChunk:
-    """The sender wants one chunk of a snapshot that it was offered."""
+    """Request for one chunk of a snapshot that the receiver has offered."""
 
     snapshot: SnapshotId
     number: int
@@ -193,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """A chunk of a snapshot, and the CRC-32 of its bytes."""
+    """Answer to `FetchChunk`: one chunk of a snapshot, and the CRC-32 of the chunk."""
 
     snapshot: SnapshotId
     number: int
@@ -203,9 +203,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """The sender is to end, perhaps for good: the others shall do without it. Sent for as long as it runs.
+    """Notice, repeated until the sender's process exits, that the sender will end, perhaps permanently.
 
-    `standbys` are the usable members that it knows and that have no part in the view: a new primary may not know them.
+    The view must then exclude the sender. `standbys` are the usable members outside the view that the sender knows: a
+    new primary may not know these members.
     """
 
     standbys: tuple[MemberId, ...] = ()
@@ -213,7 +214,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveGranted:
-    """The view of that epoch is in force, does without the receiver, and has so many synced copies of the state."""
+    """Grant to leave: the view of `epoch`, in force without the receiver, has `copies` synced copies of the state."""
 
     epoch: Epoch
     copies: int
@@ -221,7 +222,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveRequested:
-    """The operator takes the receiver out of the core for good."""
+    """The operator's order to the receiver to leave the control plane permanently."""
 
 
 Message = (
@@ -229,7 +230,7 @@
     | Accept | Accepted | Heartbeat | HeartbeatAck | Append | Appended | Resign | FetchChunk | Chunk
     | Leave | LeaveGranted | LeaveRequested
 )  # fmt: skip
-# What answers a call: it counts only for the life and the call that it answers.
+# Answers to requests. An answer is valid only for the process incarnation and the request to which it responds.
 Answer = PreVote | Promise | Refused | Fetched | Installed | Accepted | HeartbeatAck | Appended | LeaveGranted
 ANSWERS = (PreVote, Promise, Refused, Fetched, Installed, Accepted, HeartbeatAck, Appended, LeaveGranted)
 AFTER_SYNC = (Prepare, Promise, Installed, Accepted, Appended, Fetched)
@@ -237,7 +238,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to a member. An answer names the life of the process that called, which the driver fills in."""
+    """Send a message to a member. The driver sets `answered_incarnation` to the requester's incarnation in answers."""
 
     to: MemberId
     message: Message
@@ -246,7 +247,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToAddress:
-    """Send a message to whoever is at an IP address."""
+    """Send a message to an IP address, for the member that runs at the address."""
 
     ip: str
     message: Message
@@ -254,7 +255,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveWitness:
-    """Store what the witness promised and accepted."""
+    """Store the epoch that the witness promised and the view that the witness accepted."""
 
     promised: Epoch
     accepted: View | None
@@ -263,7 +264,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveInstalled:
-    """Store the epoch of the replica, and its state unless that is stored already."""
+    """Store the epoch of the replica, and its state; `state` is None if the state is stored already."""
 
     epoch: Epoch
     state: ControlState | None
@@ -271,7 +272,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveChange:
-    """Store a change that leads to `state`, whose index is the change's."""
+    """Store a change that results in `state`; the index of the change is `state.index`."""
 
     change: Change
     state: ControlState
@@ -279,14 +280,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveCommitted:
-    """Store the index up to which everything is committed, so that a restart can tell it at once."""
+    """Store the highest committed index, so that a restarted member can publish the committed state at once."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Answer the call of that number."""
+    """Answer the operator's call with number `call`."""
 
     call: int
     result: Committed | Failure
@@ -294,7 +295,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Publish:
-    """A newer state is known to be committed."""
+    """Publish a newer state that is known to be committed."""
 
     state: ControlState
 
--- a/canvasbeam/replication/primary.py
+++ b/canvasbeam/replication/primary.py
@@ -1,12 +1,12 @@
-"""The primary of a view that is in force: writes, confirmed reads, and who is unresponsive.
+"""The primary of a view that is in force: handles writes and confirmed reads, and detects unresponsive members.
 
-A write is answered when every replica of the view has it on its disk. Everything that depends on the state but changes
-nothing (a read, a refusal, a change that was taken before) is answered when a majority of the witnesses has confirmed,
-in a round of heartbeats begun after the call, that it promised no higher epoch, and all that the answer depends on is
-committed.
+A write is answered when every replica of the view has stored the change on disk. An answer that depends on the state
+but changes nothing (a read, a refusal, a change that was applied before) waits for two conditions: a majority of the
+witnesses has confirmed, in a heartbeat round begun after the call, that it promised no higher epoch; and every change
+on which the answer depends is committed.
 
-Owns the log of changes, the calls that wait, and through its parts the progress of replicas (`replica_progress`), the
-rounds of heartbeats (`heartbeat_rounds`) and the members that catch up (`catch_up`). It must never change the view.
+Owns the change log, the pending calls and, through its parts, the progress of replicas (`replica_progress`), the
+heartbeat rounds (`heartbeat_rounds`) and the members that catch up (`catch_up`). It must never change the view.
 """
 
 from __future__ import annotations
@@ -42,11 +42,11 @@
 from canvasbeam.replication.timing import ReplicationTiming
 from canvasbeam.replication.views import ApplyChange, MemberId, Position, View, is_majority
 
-MAX_CATCH_UP_BYTES = 8 << 20  # of committed changes, for members that are to join
+MAX_CATCH_UP_BYTES = 8 << 20  # total size of committed changes kept for joining members
 
 
 class Primary:
-    """The primary's part of one view: made when the view came into force, dropped when the member leaves the role."""
+    """The primary of one view: created when the view comes into force, dropped when the member leaves the role."""
 
     def __init__(
         self,
@@ -78,15 +78,15 @@
             member: ReplicaProgress(ChangeFlow(self._log, self._committed), timing) for member in view.replicas
         }
         self._rounds = HeartbeatRounds(view.witnesses, now)
-        self._in_force_at: set[MemberId] = set()  # that have on their disk that the view is in force
+        self._in_force_at: set[MemberId] = set()  # members whose disk marks the view as in force
 
     def begin(self, now: int) -> list[Action]:
-        """Tell that the view is in force, and that the whole state is committed."""
+        """Announce that the view is in force, and publish the whole state as committed."""
         actions: list[Action] = [Send(member, Accept(self.view, in_force=True)) for member in self.view.members]
         return actions + self._publish() + self.new_round(now)
 
     def tick(self, now: int) -> list[Action]:
-        """Send heartbeats and lost appends that are due, and end the calls that waited too long."""
+        """Send due heartbeats, resend lost appends, and fail the calls that exceeded `call_timeout_ns`."""
         actions: list[Action] = []
         if now - self._rounds.begun_at >= self._timing.heartbeat_interval_ns:
             actions += self.new_round(now)
@@ -98,28 +98,28 @@
         return actions + self.catch_up.tick(now) + self._end_overdue_calls(now)
 
     def discount_stall(self, stall: int) -> None:
-        """Do not blame the others for the time for which this process stalled."""
+        """Exclude a stall of this process, in nanoseconds, from the timeouts of witnesses and replicas."""
         self._rounds.discount_stall(stall)
         for progress in self._progress.values():
             progress.discount_stall(stall)
 
     def has_lost_contact(self, now: int) -> bool:
-        """Return whether no majority of the witnesses has confirmed for too long."""
+        """Return True if the last confirmed heartbeat round was sent more than `unresponsive_after_ns` ago."""
         return now - self._rounds.confirmed_at > self._timing.unresponsive_after_ns
 
     def stuck_replicas(self, now: int) -> list[MemberId]:
-        """Return the replicas that owe the confirmation of a change for too long."""
+        """Return the replicas whose confirmation of a change is overdue."""
         return [member for member, progress in self._progress.items() if progress.is_stuck(now)]
 
     def has_capacity_for(self, change: Change) -> bool:
-        """Return whether a change may be added to those that are not committed yet; a first one always may."""
+        """Return True if the limits allow another uncommitted change; a single change may have any size."""
         if len(self.pending) >= MAX_PENDING_CALLS:
             return False
         in_flight = self._log.size_after(self._committed)
         return in_flight == 0 or in_flight + change_size(change) <= MAX_BYTES_IN_FLIGHT
 
     def submit(self, call: int, change: Change, now: int) -> list[Action]:
-        """Apply a change and send it to the replicas."""
+        """Apply a change and send it to the replicas; a refused or repeated change only awaits confirmation."""
         outcome = self._apply(self._replica.state, change)
         if isinstance(outcome, Failure):
             return self._await_confirmation(PendingCall(call, now, failure=outcome), now)
@@ -135,11 +135,11 @@
         return actions + self.catch_up.on_change(now)
 
     def read(self, call: int, now: int) -> list[Action]:
-        """Answer with the committed state, once confirmed."""
+        """Answer with the committed state after a heartbeat round has confirmed this primary."""
         return self._await_confirmation(PendingCall(call, now), now)
 
     def adopt(self, pending: Sequence[PendingCall], now: int) -> list[Action]:
-        """Go on with the calls of the view before, which this member led too and whose whole state was kept."""
+        """Resume the calls of the previous view, which this member also led and whose whole state was kept."""
         actions: list[Action] = []
         for call in pending:
             if call.change is not None:
@@ -151,7 +151,7 @@
         return actions + self._answer()
 
     def take_heartbeat_ack(self, sender: MemberId, message: HeartbeatAck, now: int) -> list[Action]:
-        """Take a witness's confirmation of the epoch; send it the view where it lacks it."""
+        """Process a confirmation of the epoch; send the view to a sender that lacks the view."""
         self._rounds.take_answer(sender, message.sequence)
         actions: list[Action] = []
         if sender in self.view.members and self._misses_view(sender, message):
@@ -159,29 +159,29 @@
         return actions + self._answer()
 
     def _misses_view(self, sender: MemberId, message: HeartbeatAck) -> bool:
-        """Return whether the sender lacks the view, or did not confirm in a reconfiguration that it is in force."""
+        """Return True if the sender lacks the view, or has not confirmed in a reconfiguration that it is in force."""
         if message.accepted < self.view.epoch or not message.in_force:
             return True
         return not (self.is_reconfiguration_complete or sender in self._in_force_at)
 
     @property
     def is_reconfiguration_complete(self) -> bool:
-        """Whether the end of a change of the electorate is on the disks of a majority of the new one.
+        """True if a majority of the new electorate has stored on disk that the change of the electorate has ended.
 
-        Until then a candidate might need a majority of the old one too, of which some may be gone for good.
+        Before, a candidate might also need a majority of the old electorate, of which some may be lost permanently.
         """
         if set(self.view.witnesses) == set(self.view.previous_witnesses):
             return True
         return is_majority(self._in_force_at, self.view.witnesses)
 
     def take_accepted(self, sender: MemberId, message: Accepted) -> list[Action]:
-        """Take a witness's word that it has on its disk that the view is in force."""
+        """Process a witness's `Accepted`; record the witness if its disk marks the view as in force."""
         if message.in_force:
             self._in_force_at.add(sender)
         return self._answer()
 
     def take_appended(self, sender: MemberId, message: Appended, now: int) -> list[Action]:
-        """Take a replica's word that it has the changes up to an index on its disk."""
+        """Record a replica's confirmation that the changes up to an index are on its disk."""
         progress = self._progress.get(sender)
         if progress is None:
             return [*self.catch_up.take_appended(sender, message.index, now)]
@@ -190,11 +190,11 @@
         return [*self._append_to(sender, now), *self._commit(now)]
 
     def take_installed(self, sender: MemberId, message: Installed, now: int) -> list[Action]:
-        """Take the word of a member that is to join on whether it has a state of this view."""
+        """Record a joining member's answer on whether the member has a state of this view."""
         return [*self.catch_up.take_installed(sender, message, now)]
 
     def new_round(self, now: int) -> list[Action]:
-        """Send a heartbeat to the members, and to those that would join."""
+        """Send a heartbeat to the view's members and to other recently seen members, which may join the view."""
         message = Heartbeat(self.view.epoch, self._rounds.begin(now), self._committed)
         liveness = self._liveness
         joining = [member for member in liveness.known() if not liveness.is_replaceable(member, now)]
@@ -208,7 +208,7 @@
         return actions
 
     def _append_to(self, member: MemberId, now: int) -> list[Action]:
-        """Send a replica what comes next; this member's own has it already."""
+        """Send a replica the next batch of changes; this member's own replica already has every change."""
         batch = self._progress[member].flow.next_batch(now)
         if batch is None:
             return []
@@ -222,11 +222,11 @@
             return []
         self._committed = committed
         self._trim_log()
-        # Every replica of the view confirmed this index after its sync (`durability.Outbox`).
+        # Every replica of the view confirmed this index only after its own sync to disk (`durability.Outbox`).
         return self._answer() + self._publish() + self.new_round(now)
 
     def _trim_log(self) -> None:
-        """Keep what a replica needs, and a bounded part of what those need that are to join."""
+        """Keep the changes that replicas need, and up to `MAX_CATCH_UP_BYTES` of committed ones for joining members."""
         needed = self.catch_up.oldest_needed()
         self._log.trim(self._committed if needed is None else min(needed, self._committed))
         self._log.trim_to(MAX_CATCH_UP_BYTES, self._committed)
@@ -236,7 +236,7 @@
         return [] if newer is None else [Publish(newer), SaveCommitted(newer.index)]
 
     def _answer(self) -> list[Action]:
-        """Answer the calls whose index is committed and whose round is confirmed."""
+        """Answer the calls whose index is committed and whose heartbeat round is confirmed."""
         if not self.is_reconfiguration_complete:
             return []
         confirmed = self._rounds.newest_confirmed()
--- a/canvasbeam/replication/primary_role.py
+++ b/canvasbeam/replication/primary_role.py
@@ -1,6 +1,6 @@
-"""The role of a primary: serves calls through its `primary.Primary`, and watches whether its view must change.
+"""The primary role: serves calls through `primary.Primary`, and detects when the view must change.
 
-Owns the primary's part of one view. A view is never changed here: the machine only says that it is outdated.
+Owns the primary of one view. The role never changes the view: it only reports that the view is outdated.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 
 
 class PrimaryRole(RoleMachine):
-    """The machine of the role PRIMARY, in one view."""
+    """The state machine of the role PRIMARY, in one view."""
 
     def __init__(self, shared: SharedState, candidate: Candidate, view: View, now: int) -> None:
-        """Take over from a candidate that won: the view is in force, and this member's replica has its state."""
+        """Take over from a candidate that won: the view is in force, and this member's replica has the view's state."""
         super().__init__(Role.PRIMARY, shared)
         shared.known_view.learn(view, in_force=True)
         shared.known_primary.follow(shared.me, view.epoch)
@@ -54,17 +54,17 @@
 
     @property
     def pending(self) -> Sequence[PendingCall]:
-        """The calls that wait for an answer."""
+        """Operator calls that wait for an answer."""
         return self.primary.pending
 
     def begin(self, candidate: Candidate, pending: Sequence[PendingCall], now: int) -> list[Action]:
-        """Tell the view, and go on with the calls of the view before if this member's state was kept whole."""
+        """Announce the view; resume the pending calls if this member's own state was kept, otherwise fail them."""
         if candidate.source == self._shared.me:
             return [*self.primary.begin(now), *self.primary.adopt(pending, now)]
         return [*replies_to_lost(pending), *self.primary.begin(now), *self.primary.adopt((), now)]
 
     def tick(self, now: int) -> Outcome:
-        """Notice lost contact, stuck replicas and an outdated view; else repeat what is due."""
+        """Detect a lost quorum, stuck replicas and an outdated view; otherwise send the messages that are due."""
         shared, primary = self._shared, self.primary
         if primary.has_lost_contact(now):
             return Outcome(event=RoleEvent.UNABLE_TO_LEAD)
@@ -78,7 +78,7 @@
         return Outcome([*primary.catch_up.set_members(followers, now), *primary.tick(now)])
 
     def take_answer(self, sender: MemberId, answer: Answer, now: int) -> Outcome:
-        """Take a witness's, a replica's or a joining member's answer in this view's epoch."""
+        """Process an answer of a witness, a replica or a joining member in this view's epoch."""
         match answer:
             case Installed():
                 return Outcome(self.primary.take_installed(sender, answer, now))
@@ -91,10 +91,10 @@
                 return Outcome(self.primary.take_appended(sender, answer, now))
             case Refused():
                 return self._take_refused(sender, answer, now)
-        return Outcome()  # an answer to the candidate that this member was
+        return Outcome()  # an answer to a request of this member as a candidate
 
     def _take_refused(self, sender: MemberId, answer: Refused, now: int) -> Outcome:
-        """Step down for a replica that promised a higher epoch; take in one that can join in a higher epoch only."""
+        """Step down if a replica promised a higher epoch; change the view if a joining member needs a higher epoch."""
         primary = self.primary
         self._shared.liveness.record_answer(sender, now)
         if answer.promised <= primary.view.epoch:
@@ -103,29 +103,29 @@
             return Outcome(event=RoleEvent.EPOCH_REFUSED)
         is_steady = now - primary.began >= self._shared.timing.steady_after_ns
         if primary.catch_up.has(sender) and is_steady:
-            return Outcome(event=RoleEvent.VIEW_OUTDATED)  # nothing but a higher epoch lets this member catch up
+            return Outcome(event=RoleEvent.VIEW_OUTDATED)  # the sender can catch up only in a higher epoch
         return Outcome()
 
     def awaits(self, answer: Answer) -> bool:
-        """Return whether the answer is in the epoch of this view."""
+        """Return True if the answer has the epoch of this view."""
         return not isinstance(answer, PreVote) and answer.epoch == self.primary.view.epoch
 
     def discount_stall(self, stall: int) -> None:
-        """Do not blame witnesses and replicas for the time for which this process stalled."""
+        """Exclude a stall of this process, in nanoseconds, from the timeouts of witnesses and replicas."""
         self.primary.discount_stall(stall)
 
     def submit(self, call: int, change: Change, now: int) -> list[Action]:
-        """Apply and replicate a change, or refuse it where too much is pending."""
+        """Apply and replicate a change, or refuse the change if too many are pending."""
         if not self.primary.has_capacity_for(change):
             return [Reply(call, Failure(ResultCode.OVERLOADED, "too many changes are in progress"))]
         return self.primary.submit(call, change, now)
 
     def read(self, call: int, now: int) -> list[Action]:
-        """Answer with the committed state once a quorum confirmed this primary."""
+        """Answer with the committed state after a majority of the witnesses has confirmed this primary."""
         return self.primary.read(call, now)
 
     def release(self, member: MemberId, standbys: Collection[MemberId], now: int) -> LeaveGranted | None:
-        """Release a member that the view in force does without, if no standby may still take its vote."""
+        """Return a grant if `member` is no replica of the view and no standby may still replace it as a witness."""
         primary = self.primary
         if member in primary.view.replicas or not primary.is_reconfiguration_complete:
             return None
@@ -137,7 +137,7 @@
         return LeaveGranted(primary.view.epoch, len(primary.view.replicas))
 
     def removal(self, ip: str, now: int) -> Removal | Failure:
-        """Return how far the removal of the member at an address is, or why it may not be removed."""
+        """Return the progress of removing the member at an address, or why the removal is refused."""
         primary, planner = self.primary, self._shared.planner
         return removal_of(
             ip,
@@ -148,16 +148,16 @@
         )
 
     def is_caught_up(self, member: MemberId, now: int) -> bool:
-        """Return whether the member follows closely."""
+        """Return True if the member is joining and nearly caught up."""
         return self.primary.catch_up.is_nearly_caught_up(member, now)
 
     def finds_primary_unresponsive(self, now: int) -> bool:
-        """Return False: it is the primary."""
+        """Return False, because this member is the primary."""
         del now
         return False
 
     def _leave_out_overdue(self, candidate: Candidate, view: View, now: int) -> None:
-        """Whoever answered too late to be a replica is not taken in again at once."""
+        """Record witnesses that promised too late as failed, so that they are not added as replicas again at once."""
         liveness = self._shared.liveness
         for member in view.witnesses:
             if member in view.replicas or liveness.is_leaving(member) or candidate.has_promise(member):
--- a/canvasbeam/replication/replica.py
+++ b/canvasbeam/replication/replica.py
@@ -1,6 +1,7 @@
-"""The replica of a member: the state, which may be ahead of what is known to be committed.
+"""The replica of a member: its state, which may be ahead of the state known to be committed.
 
-Owns the states from the committed one to the newest. It never decides whether an epoch is refused: the witness does.
+Owns the states from the committed one to the newest. The replica never decides whether an epoch is refused: the
+member's witness does.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class Replica:
-    """Changes are applied in order and only within the epoch for which the replica was installed."""
+    """Applies changes in order, and only within the epoch for which the replica was installed."""
 
     def __init__(self, apply: ApplyChange, epoch: Epoch, state: ControlState, committed: int) -> None:
         self._apply = apply
@@ -25,17 +26,17 @@
 
     @property
     def position(self) -> Position:
-        """How far the replica is."""
+        """The epoch of the replica and the index of its state."""
         return Position(self.epoch, self.state.index)
 
     def install(self, epoch: Epoch, state: ControlState) -> None:
-        """Begin an epoch with a state."""
+        """Begin an epoch with the given state."""
         self.epoch = epoch
         self.state = state
         self._uncommitted = {state.index: state}
 
     def append(self, previous: int, changes: Sequence[Change]) -> list[SaveChange] | Failure:
-        """Apply those of the changes that are new; return an empty list where there is a gap or nothing new."""
+        """Apply the new ones of the changes after index `previous`; return an empty list on a gap or if none is new."""
         saves: list[SaveChange] = []
         for index, change in enumerate(changes, previous + 1):
             if index != self.state.index + 1:
@@ -48,16 +49,16 @@
         return saves
 
     def advance(self, state: ControlState) -> None:
-        """Take the state that the next change led to."""
+        """Set the state that resulted from the next change."""
         self.state = state
         self._uncommitted[state.index] = state
 
     def state_at(self, index: int) -> ControlState:
-        """Return the state at an index that is committed or above."""
+        """Return the state at an index between the committed and the newest one."""
         return self._uncommitted[index]
 
     def commit(self, epoch: Epoch, index: int) -> ControlState | None:
-        """Record that all replicas of the epoch have this index; return a state newly known to be committed."""
+        """Record that all replicas of the epoch have stored `index`; return the newly committed state, or None."""
         if epoch != self.epoch or self.epoch == NO_EPOCH or index <= self.committed.index:
             return None
         reached = [stored for stored in self._uncommitted if stored <= index]
--- a/canvasbeam/replication/responder.py
+++ b/canvasbeam/replication/responder.py
@@ -1,7 +1,7 @@
-"""The answers of a member's witness and replica to whoever leads or would lead.
+"""Answers of a member's witness and replica to requests of a primary or candidate.
 
-One rule for all: what comes in an epoch below the promised one is refused. Every answer that vouches for the disk comes
-after the `Save` that it depends on, and the driver holds it back until that is synced (`durability.Outbox`).
+Every request in an epoch below the promised epoch is refused. An answer that confirms data on disk always follows the
+`Save` of that data, and the driver delays the answer until the save is synced (`durability.Outbox`).
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
 
 
 def epoch_of(message: ToResponder) -> Epoch:
-    """Return the epoch in which the sender leads or would lead."""
+    """Return the epoch in which the sender leads or is a candidate."""
     return message.view.epoch if isinstance(message, Accept) else message.epoch
 
 
 class Responder:
-    """Changes the witness and the replica of one member as the leading member asks, in every role alike."""
+    """Updates one member's witness and replica as a primary or candidate requests, in the same way for every role."""
 
     def __init__(self, witness: Witness, replica: Replica, snapshots: SnapshotSource) -> None:
         self._witness = witness
@@ -46,7 +46,7 @@
         self._snapshots = snapshots
 
     def answer(self, sender: MemberId, message: ToResponder, healthy: bool) -> list[Action]:
-        """Obey a message or refuse it; return the saves and the answer."""
+        """Execute or refuse a request; return the saves and the answer."""
         epoch = epoch_of(message)
         if self._witness.refuses(epoch):
             return [Send(sender, Refused(epoch, self._witness.promised))]
@@ -68,7 +68,7 @@
         if epoch != witness.promised:
             witness.promise(epoch)
             actions.append(witness.to_save())
-        # Leaves after the promise is synced, and with it every change that the position counts.
+        # The answer is sent only after the promise and every change up to the replica's position are synced.
         promise = Promise(epoch, witness.accepted, witness.in_force, self._replica.position, healthy)
         return [*actions, Send(sender, promise)]
 
@@ -79,7 +79,7 @@
         return [Send(sender, Fetched(epoch, self._replica.position, offered))]
 
     def needs(self, message: Install) -> bool:
-        """Return whether the replica would change: it is of another epoch, or behind the state offered in its own."""
+        """Return True if `message` would change the replica: the epoch differs, or the offered state is newer."""
         replica = self._replica
         if replica.epoch != message.epoch:
             return True
@@ -95,7 +95,7 @@
             self._witness.promise(message.epoch)
             replica.install(message.epoch, replica.state if state is None else state)
             actions = [self._witness.to_save(), SaveInstalled(message.epoch, state)]
-        # Leaves after the state and the promise are synced.
+        # The answer is sent only after the state and the promise are synced.
         return [*actions, Send(sender, Installed(message.epoch, stored=True, index=replica.state.index))]
 
     def _accept(self, sender: MemberId, message: Accept) -> list[Action]:
@@ -103,7 +103,7 @@
         before = witness.to_save()
         witness.accept(message.view, message.in_force)
         actions: list[Action] = [] if witness.to_save() == before else [witness.to_save()]
-        # Leaves after the accepted view is synced.
+        # The answer is sent only after the accepted view is synced.
         return [*actions, Send(sender, Accepted(message.view.epoch, witness.in_force))]
 
     def _append(self, sender: MemberId, message: Append) -> list[Action]:
@@ -113,5 +113,5 @@
         saves = replica.append(message.previous, message.changes)
         if isinstance(saves, Failure):
             return []
-        # Leaves after the changes are synced.
+        # The answer is sent only after the changes are synced.
         return [*saves, Send(sender, Appended(message.epoch, replica.state.index))]
--- a/canvasbeam/replication/role_machine.py
+++ b/canvasbeam/replication/role_machine.py
@@ -1,7 +1,7 @@
-"""What the state machine of a role offers, and what a role does where it has nothing of its own to do.
+"""The interface of a role's state machine, and the default behaviour for roles that do not override a method.
 
-The defaults are those of a member that leads nothing and asks for nothing. A machine changes the shared parts through
-their calls; it must never change the role, which it only asks for in its `Outcome`.
+The defaults are those of a member that neither leads nor has a request pending. A machine changes the shared parts only
+through their methods. A machine must never change the role itself; it requests the change in its `Outcome`.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class RoleMachine:
-    """The base of the machines of all roles. All times are whole nanoseconds of one monotonic clock."""
+    """Base class of the state machines of all roles. All times are integer nanoseconds of one monotonic clock."""
 
     def __init__(self, role: Role, shared: SharedState) -> None:
         self.role = role
@@ -25,53 +25,53 @@
 
     @property
     def pending(self) -> Sequence[PendingCall]:
-        """The operator's calls that wait for an answer, in their order."""
+        """Operator calls that wait for an answer, in order of arrival."""
         return ()
 
     def tick(self, now: int) -> Outcome:
-        """Act on the time that has passed."""
+        """Process the passage of time."""
         raise NotImplementedError
 
     def take_answer(self, sender: MemberId, answer: Answer, now: int) -> Outcome:
-        """Take an answer that `awaits` accepted."""
+        """Process an answer for which `awaits` returned True."""
         raise NotImplementedError
 
     def awaits(self, answer: Answer) -> bool:
-        """Return whether an answer is to a call that this machine made."""
+        """Return True if an answer responds to a request of this machine."""
         del answer
         return False
 
     def awaits_state(self, answer: Fetched) -> bool:
-        """Return whether the machine waits for this state, so that its snapshot is worth fetching."""
+        """Return True if the machine waits for this state, so that the snapshot must be fetched."""
         del answer
         return False
 
     def record_progress(self, now: int) -> None:
-        """Record that a chunk of a snapshot moved."""
+        """Record that a chunk of a snapshot was transferred."""
 
     def discount_stall(self, stall: int) -> None:
-        """Do not blame others for the time for which this process stalled."""
+        """Exclude a stall of this process, in nanoseconds, from the timeouts of other members."""
 
     def submit(self, call: int, change: Change, now: int) -> list[Action]:
-        """Take a change of the operator; by default refuse it, naming the primary where one is known."""
+        """Handle a change of the operator; by default refuse the change, naming the primary if one is known."""
         del change, now
         return [Reply(call, self._shared.known_primary.refusal())]
 
     def read(self, call: int, now: int) -> list[Action]:
-        """Take the operator's question for the newest state; by default refuse it."""
+        """Handle a read of the newest state; by default refuse the read, naming the primary if one is known."""
         del now
         return [Reply(call, self._shared.known_primary.refusal())]
 
     def release(self, member: MemberId, standbys: Collection[MemberId], now: int) -> LeaveGranted | None:
-        """Return the release of a member that leaves, or None where this machine cannot decide that yet."""
+        """Return the grant for a member that leaves, or None if this machine cannot decide on the grant yet."""
         del member, standbys, now
         return None
 
     def is_caught_up(self, member: MemberId, now: int) -> bool:
-        """Return whether a member that is to join a view has nearly everything, as far as this machine can tell."""
+        """Return True if a joining member is nearly caught up, or if this role has no data on the member's progress."""
         del member, now
         return True
 
     def finds_primary_unresponsive(self, now: int) -> bool:
-        """Return the answer to a candidate that asks for a pre-vote."""
+        """Return the answer to a pre-vote request: True if the primary is unresponsive or unknown."""
         return self._shared.finds_primary_unresponsive(now)
--- a/canvasbeam/replication/roles.py
+++ b/canvasbeam/replication/roles.py
@@ -1,18 +1,18 @@
-"""The roles of a member, and the events that change them.
+"""The roles of a member, and the events that change the role.
 
 | role | event | next role |
 | --- | --- | --- |
-| FOLLOWER | ELECTION_TIMEOUT: the primary is unresponsive and it is this member's turn | CANDIDATE |
-| CANDIDATE | WON: its view is in force | PRIMARY |
-| PRIMARY | VIEW_OUTDATED: a member is lost, is back or leaves, or refuses the epoch | REFORMING |
+| FOLLOWER | ELECTION_TIMEOUT: the primary is unresponsive and this member's election timer expired | CANDIDATE |
+| CANDIDATE | WON: the candidate's view is in force | PRIMARY |
+| PRIMARY | VIEW_OUTDATED: a member is lost, returns, leaves or refuses the epoch | REFORMING |
 | REFORMING | WON | PRIMARY |
 | CANDIDATE, REFORMING | PRE_VOTE_LOST, LOST: no view came into force | FOLLOWER |
 | PRIMARY | EPOCH_REFUSED: a replica of the view has promised a higher epoch | FOLLOWER |
 | any | OTHER_LEADS: another member leads in an epoch that is not refused | FOLLOWER |
-| any | RESIGNED: this member stops leading and says so | FOLLOWER |
+| any | RESIGNED: this member stops leading and notifies the others | FOLLOWER |
 
-A machine tells in its `Outcome` what happened; `member.Member` alone looks up the table and changes the role. A machine
-must never reach into another one.
+A state machine reports the event in its `Outcome`; only `member.Member` looks up the table and changes the role. A
+machine must never access another machine.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
 
 
 class Role(Enum):
-    """What a member does besides being a witness and a replica."""
+    """Role of a member, in addition to being a witness and a replica."""
 
     FOLLOWER = auto()
     CANDIDATE = auto()
     PRIMARY = auto()
-    REFORMING = auto()  # a primary that changes its view
+    REFORMING = auto()  # a primary that is changing its view
 
 
 class RoleEvent(Enum):
-    """What ends a role. `UNABLE_TO_LEAD` asks the member to resign, which is then the event `RESIGNED`."""
+    """Event that ends a role. On `UNABLE_TO_LEAD` the member resigns, which ends the role with `RESIGNED`."""
 
     ELECTION_TIMEOUT = auto()
     WON = auto()
-    PRE_VOTE_LOST = auto()  # before anybody promised anything, so that asking did no harm
+    PRE_VOTE_LOST = auto()  # no member had promised the epoch, so the attempt had no effect
     LOST = auto()
     VIEW_OUTDATED = auto()
     EPOCH_REFUSED = auto()
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a role's machine decided: actions, and then the event that ends the role, if there is one."""
+    """Result of a state machine's step: the actions, followed by the event that ends the role, or None."""
 
     actions: Sequence[Action] = ()
     event: RoleEvent | None = None
--- a/canvasbeam/replication/witness.py
+++ b/canvasbeam/replication/witness.py
@@ -1,7 +1,7 @@
-"""The witness of a member: the epoch that it promised, and the view that it accepted.
+"""The witness of a member: the promised epoch and the accepted view.
 
-The acceptor of Paxos (Lamport, "Paxos Made Simple", 2001), with views as values. Whoever changes it must save it before
-anything of that is answered.
+The witness is the acceptor of Paxos (Lamport, "Paxos Made Simple", 2001), with views as values. Every change of the
+witness must be saved before an answer that depends on the change is sent.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Witness:
-    """A promise is never taken back: every lower epoch is refused, by the member's replica too."""
+    """A promise is permanent: the member's witness and replica refuse every lower epoch."""
 
     def __init__(self, promised: Epoch, accepted: View | None, in_force: bool) -> None:
         self.promised = promised
@@ -19,18 +19,18 @@
         self.in_force = in_force
 
     def refuses(self, epoch: Epoch) -> bool:
-        """Return whether a higher epoch was promised."""
+        """Return True if an epoch higher than `epoch` was promised."""
         return epoch < self.promised
 
     def promise(self, epoch: Epoch) -> bool:
-        """Promise to refuse all lower epochs; return False where a higher one was promised."""
+        """Promise to refuse all lower epochs; return False if a higher epoch was promised."""
         if self.refuses(epoch):
             return False
         self.promised = epoch
         return True
 
     def accept(self, view: View, in_force: bool) -> bool:
-        """Accept a view, which promises its epoch too; return False where a higher one was promised."""
+        """Accept a view and promise its epoch; return False if a higher epoch was promised."""
         if not self.promise(view.epoch):
             return False
         same_view = self.accepted is not None and self.accepted.epoch == view.epoch
@@ -39,5 +39,5 @@
         return True
 
     def to_save(self) -> SaveWitness:
-        """Return what must be on the disk before anything of this is answered."""
+        """Return the save that must be durable before an answer that depends on the witness is sent."""
         return SaveWitness(self.promised, self.accepted, self.in_force)
