--- a/canvasbeam/replication/calls.py
+++ b/canvasbeam/replication/calls.py
@@ -22,20 +22,20 @@
     """A call that waits until `index` is committed and, if `sequence` > 0, that heartbeat round is confirmed."""
 
     call: int
-    began: int
+    began_at: int
     index: int = 0
     sequence: int = 0
     failure: Failure | None = None
     change: Change | None = None  # change of a deferred call that no primary has processed yet
 
 
-class HeldCalls:
+class DeferredCalls:
     """Calls deferred while a primary changes its view: its pending calls, and new calls within the limits."""
 
     def __init__(self, pending: Sequence[PendingCall]) -> None:
         self.pending = list(pending)
 
-    def hold(self, call: PendingCall) -> bool:
+    def defer(self, call: PendingCall) -> bool:
         """Add a call; return False if the call would exceed the limits."""
         if not self._has_capacity_for(call):
             return False
@@ -44,12 +44,12 @@
 
     def _has_capacity_for(self, call: PendingCall) -> bool:
         """Return True if the limits allow the call; a single change may have any size."""
-        sizes = [change_size(held.change) for held in (*self.pending, call) if held.change is not None]
+        sizes = [change_size(deferred.change) for deferred in (*self.pending, call) if deferred.change is not None]
         return len(self.pending) < MAX_PENDING_CALLS and (len(sizes) <= 1 or sum(sizes) <= MAX_BYTES_IN_FLIGHT)
 
 
-def replies_to_lost(pending: Sequence[PendingCall]) -> list[Reply]:
+def primary_lost_replies(pending: Sequence[PendingCall]) -> list[Reply]:
     """Return failures for the calls of a member that stops leading; NO_PRIMARY marks calls that are safe to retry."""
-    lost = Failure(ResultCode.PRIMARY_LOST, "the primary stopped leading before the call was answered")
-    unseen = Failure(ResultCode.NO_PRIMARY, "the primary stopped leading before it looked at the call")
-    return [Reply(call.call, lost if call.change is None else unseen) for call in pending]
+    primary_lost = Failure(ResultCode.PRIMARY_LOST, "the primary stopped leading before the call was answered")
+    not_processed = Failure(ResultCode.NO_PRIMARY, "the primary stopped leading before it looked at the call")
+    return [Reply(call.call, primary_lost if call.change is None else not_processed) for call in pending]
--- a/canvasbeam/replication/candidate.py
+++ b/canvasbeam/replication/candidate.py
@@ -129,7 +129,7 @@
             return self._enter(Phase.LOST, now)
         sends = self._advance(now)
         if not sends and now - self._last_sent >= self._timing.resend_interval_ns:
-            sends = self._ask(now) + self._renew_promises()
+            sends = self._requests(now) + self._renew_promises()
         return sends
 
     def awaits(self, message: Fetched) -> bool:
@@ -146,7 +146,7 @@
         answer = self._promises.get(member)
         return answer is not None and answer.healthy
 
-    def holds_source_state(self, member: MemberId) -> bool:
+    def has_source_state(self, member: MemberId) -> bool:
         """Return True if the member's replica has the state with which the new view will begin."""
         source = self._best_source()
         answer = self._promises.get(member)
@@ -163,7 +163,7 @@
         return self._take_state(self.source_position, state, now)
 
     @property
-    def wants_own_state(self) -> bool:
+    def needs_own_state(self) -> bool:
         """True if the member should call `provide_state`."""
         return self.phase is Phase.FETCHING and self.source == self.me
 
@@ -173,25 +173,25 @@
         self.has_prepared = self.has_prepared or phase is Phase.PREPARING
         self._phase_since = now
         self._quorum_since = None
-        return self._ask(now)
+        return self._requests(now)
 
-    def _ask(self, now: int) -> list[Send]:
+    def _requests(self, now: int) -> list[Send]:
         """Return the requests of the current phase to the members that have not answered."""
         self._last_sent = now
         match self.phase:
             case Phase.PRE_VOTING:
-                return self._to(self._unanswered(self._pre_votes), PreVoteRequest(self.epoch.number))
+                return self._send_to_each(self._unanswered(self._pre_votes), PreVoteRequest(self.epoch.number))
             case Phase.PREPARING:
-                return self._to(self._unanswered(self._promises), Prepare(self.epoch))
+                return self._send_to_each(self._unanswered(self._promises), Prepare(self.epoch))
             case Phase.FETCHING if self.source != self.me:
                 return [Send(self.source, Fetch(self.epoch))]
             case Phase.INSTALLING:
                 return [Send(member, self._install_for(member)) for member in self.replicas_without_state()]
             case Phase.ACCEPTING:
-                return self._ask_to_accept()
+                return self._accept_requests()
         return []
 
-    def _to(self, members: Iterable[MemberId], message: Message) -> list[Send]:
+    def _send_to_each(self, members: Iterable[MemberId], message: Message) -> list[Send]:
         return [Send(member, message) for member in members]
 
     def _unanswered(self, answered: Iterable[MemberId]) -> list[MemberId]:
@@ -201,7 +201,7 @@
     def _electorate(self) -> tuple[MemberId, ...]:
         return tuple(dict.fromkeys((self.me, *self.base.members)))
 
-    def _learn(self, view: View | None, in_force: bool) -> bool:
+    def _adopt_higher_view(self, view: View | None, in_force: bool) -> bool:
         """Replace the base view if `view` is higher; return True if the new base view's members must be asked."""
         if view is None or view.epoch < self.base.epoch:
             return False
@@ -215,13 +215,13 @@
 
     def _take_pre_vote(self, sender: MemberId, message: PreVote, now: int) -> list[Send]:
         self._pre_votes[sender] = message
-        learned = self._learn(message.accepted, message.in_force)
-        return (self._ask(now) if learned else []) + self._advance(now)
+        is_base_replaced = self._adopt_higher_view(message.accepted, message.in_force)
+        return (self._requests(now) if is_base_replaced else []) + self._advance(now)
 
     def _take_promise(self, sender: MemberId, message: Promise, now: int) -> list[Send]:
         self._promises[sender] = message
-        learned = self._learn(message.accepted, message.in_force)
-        return (self._ask(now) if learned else []) + self._advance(now)
+        is_base_replaced = self._adopt_higher_view(message.accepted, message.in_force)
+        return (self._requests(now) if is_base_replaced else []) + self._advance(now)
 
     def _advance(self, now: int) -> list[Send]:
         if self.phase is Phase.PRE_VOTING:
@@ -280,10 +280,10 @@
             return []
         self.source_position = position
         self._state = state
-        self._needs_state = {member for member in self.view.replicas if self._is_elsewhere(member)}
+        self._needs_state = {member for member in self.view.replicas if self._is_at_other_position(member)}
         return self._enter(Phase.INSTALLING, now)
 
-    def _is_elsewhere(self, member: MemberId) -> bool:
+    def _is_at_other_position(self, member: MemberId) -> bool:
         """Return True if the member reported another position than the source's; False also if it reported none."""
         answer = self._promises.get(member)
         return answer is not None and answer.position != self.source_position
@@ -310,15 +310,15 @@
         if self.phase not in (Phase.FETCHING, Phase.INSTALLING):
             return []
         overdue = set(self.replicas_without_state())
-        return self._to(
+        return self._send_to_each(
             [member for member in self._promises if member != self.me and member not in overdue], Prepare(self.epoch)
         )
 
-    def _ask_to_accept(self) -> list[Send]:
+    def _accept_requests(self) -> list[Send]:
         if self.view is None:
             return []
         waiting = [member for member in self.view.members if member not in self._accepted]
-        return self._to(waiting, Accept(self.view, in_force=False))
+        return self._send_to_each(waiting, Accept(self.view, in_force=False))
 
     def _take_accepted(self, sender: MemberId, now: int) -> list[Send]:
         self._accepted.add(sender)
--- a/canvasbeam/replication/follower.py
+++ b/canvasbeam/replication/follower.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Sequence
 
-from canvasbeam.replication.calls import PendingCall, replies_to_lost
+from canvasbeam.replication.calls import PendingCall, primary_lost_replies
 from canvasbeam.replication.messages import Action, Hello, SendToAddress
 from canvasbeam.replication.role_machine import RoleMachine
 from canvasbeam.replication.roles import Outcome, Role, RoleEvent
@@ -33,21 +33,21 @@
         if event is RoleEvent.PRE_VOTE_LOST:
             shared.election.expire_after_rank_delay(shared.known_view.view, now)
         shared.known_primary.stop_leading()
-        return [*replies_to_lost(pending)]
+        return [*primary_lost_replies(pending)]
 
     def tick(self, now: int) -> Outcome:
         """Forget a primary that has expired; start a candidacy if the election timer expired, or send a due hello."""
         shared = self._shared
         if shared.election.is_primary_expired(now):
             shared.known_primary.forget()
-        if self._may_stand() and shared.election.has_expired(now):
+        if self._may_lead() and shared.election.has_expired(now):
             return Outcome(event=RoleEvent.ELECTION_TIMEOUT)
         is_hello_due = now - self._last_hello >= shared.timing.hello_interval_ns
         if shared.election.is_primary_unresponsive(now) and is_hello_due:
             return Outcome(self._send_hello(now))
         return Outcome()
 
-    def _may_stand(self) -> bool:
+    def _may_lead(self) -> bool:
         """Return True if this member may lead: it is healthy, not leaving, and a witness of the known view."""
         shared = self._shared
         if not shared.healthy or shared.departure.has_begun:
--- a/canvasbeam/replication/member.py
+++ b/canvasbeam/replication/member.py
@@ -1,7 +1,7 @@
 """One member of the replicated control state: receives events and the time, and returns actions.
 
-`roles.TRANSITIONS` defines which event ends which role; only `Member._become` changes the role. Decisions that depend
-on the role are made by the role's state machine: `follower.Follower`, `candidate_role.CandidateRole` or
+`roles.TRANSITIONS` defines which event ends which role; only `Member._change_role` changes the role. Decisions that
+depend on the role are made by the role's state machine: `follower.Follower`, `candidate_role.CandidateRole` or
 `primary_role.PrimaryRole`. All other decisions (promises, votes, heartbeats, snapshots, the shutdown of a member) are
 made by `Member` and the parts of `shared_state.SharedState`. The driver delays a message that confirms stored data
 until every earlier save is synced (`durability.Outbox`).
@@ -48,7 +48,7 @@
 from canvasbeam.replication.primary import Primary
 from canvasbeam.replication.primary_role import PrimaryRole
 from canvasbeam.replication.removal import Removal, at_address
-from canvasbeam.replication.responder import Responder, ToResponder, epoch_of
+from canvasbeam.replication.responder import LeaderRequest, Responder, epoch_of
 from canvasbeam.replication.role_machine import RoleMachine
 from canvasbeam.replication.roles import TRANSITIONS, Outcome, Role, RoleEvent
 from canvasbeam.replication.shared_state import SharedState
@@ -144,9 +144,9 @@
         shared = self._shared
         self._discount_stall(now)
         shared.snapshots.tick(now)
-        farewells = shared.departure.tick(self._shared.known_view.view, shared.liveness, now)
+        leave_notices = shared.departure.tick(self._shared.known_view.view, shared.liveness, now)
         requests = shared.receiver.tick(now)
-        return [*farewells, *requests, *self._carry_out(self._machine.tick(now), now)]
+        return [*leave_notices, *requests, *self._apply_outcome(self._machine.tick(now), now)]
 
     def submit(self, call: int, change: Change, now: int) -> list[Action]:
         """Submit a change ordered by the operator; the result is a `Reply` with the number of the call."""
@@ -173,15 +173,15 @@
         epoch = known_view.epoch
         others = dict.fromkeys((*known_view.members, *self._shared.liveness.usable_outside(known_view.members, now)))
         was_primary = self.role in (Role.PRIMARY, Role.REFORMING)
-        actions = self._become(RoleEvent.RESIGNED, now)
+        actions = self._change_role(RoleEvent.RESIGNED, now)
         if was_primary:
             actions += [Send(member, Resign(epoch)) for member in others if member != self.me]
         return actions
 
     def leave(self, now: int) -> list[Action]:
         """Resign and request a grant to leave (`departure.may_end`): the process will end, perhaps permanently."""
-        farewells = self._shared.departure.begin(self._shared.known_view.view, self._shared.liveness, now)
-        return [*farewells, *(self.resign(now) if self.role is not Role.FOLLOWER else [])]
+        leave_notices = self._shared.departure.begin(self._shared.known_view.view, self._shared.liveness, now)
+        return [*leave_notices, *(self.resign(now) if self.role is not Role.FOLLOWER else [])]
 
     def removal(self, ip: str, now: int) -> Removal | Failure:
         """Return the progress of removing the member at an address, or a failure; only the primary can decide."""
@@ -196,37 +196,37 @@
 
     # --- role changes -----------------------------------------------------------------------------------------
 
-    def _carry_out(self, outcome: Outcome, now: int) -> list[Action]:
+    def _apply_outcome(self, outcome: Outcome, now: int) -> list[Action]:
         """Return the actions of an outcome, followed by the actions of the role change caused by its event."""
         if outcome.event is None:
             return [*outcome.actions]
         if outcome.event is RoleEvent.UNABLE_TO_LEAD:
             return [*outcome.actions, *self.resign(now)]
-        return [*outcome.actions, *self._become(outcome.event, now)]
+        return [*outcome.actions, *self._change_role(outcome.event, now)]
 
-    def _become(self, event: RoleEvent, now: int) -> list[Action]:
+    def _change_role(self, event: RoleEvent, now: int) -> list[Action]:
         """Change the role by `TRANSITIONS`, and begin the new role. No other method changes the role."""
-        left = self._machine
+        old_machine = self._machine
         view = self._shared.known_view.view
-        match TRANSITIONS[left.role, event]:
+        match TRANSITIONS[old_machine.role, event]:
             case Role.CANDIDATE | Role.REFORMING if view is not None:
-                reformed = left.primary if isinstance(left, PrimaryRole) else None
-                candidacy = CandidateRole(self._shared, view, reformed, now)
+                former_primary = old_machine.primary if isinstance(old_machine, PrimaryRole) else None
+                candidacy = CandidateRole(self._shared, view, former_primary, now)
                 self._machine = candidacy
-                return self._carry_out(candidacy.begin(now), now)
-            case Role.PRIMARY if isinstance(left, CandidateRole) and left.candidate.view is not None:
-                leadership = PrimaryRole(self._shared, left.candidate, left.candidate.view, now)
+                return self._apply_outcome(candidacy.begin(now), now)
+            case Role.PRIMARY if isinstance(old_machine, CandidateRole) and old_machine.candidate.view is not None:
+                leadership = PrimaryRole(self._shared, old_machine.candidate, old_machine.candidate.view, now)
                 self._machine = leadership
-                return leadership.begin(left.candidate, left.pending, now)
+                return leadership.begin(old_machine.candidate, old_machine.pending, now)
         self._machine = self._follower
-        return self._follower.enter(event, left.pending, now)
+        return self._follower.enter(event, old_machine.pending, now)
 
-    def _yield_to(self, sender: MemberId, now: int) -> list[Action]:
+    def _step_down_for(self, sender: MemberId, now: int) -> list[Action]:
         """Restart the election timer and step down for a primary or candidate whose epoch is not refused."""
         self._shared.election.record_sign_of_primary(self._shared.known_view.view, now)
         if sender == self.me or self.role is Role.FOLLOWER:
             return []
-        return self._become(RoleEvent.OTHER_LEADS, now)
+        return self._change_role(RoleEvent.OTHER_LEADS, now)
 
     def _is_caught_up(self, member: MemberId, now: int) -> bool:
         return self._machine.is_caught_up(member, now)
@@ -267,29 +267,29 @@
             case Fetched(state=SnapshotId()):
                 is_wanted = self._machine.awaits_state(answer)
                 return [*self._shared.receiver.take_offer(sender, answer, now)] if is_wanted else []
-        return self._carry_out(self._machine.take_answer(sender, answer, now), now)
+        return self._apply_outcome(self._machine.take_answer(sender, answer, now), now)
 
-    def _respond(self, sender: MemberId, message: ToResponder, now: int) -> list[Action]:
+    def _respond(self, sender: MemberId, message: LeaderRequest, now: int) -> list[Action]:
         """Answer a request as witness and replica; follow the sender unless its epoch is refused."""
         answers = self._responder.answer(sender, message, self._shared.healthy)
         if not isinstance(message, Prepare | Install | Accept) or self._shared.witness.refuses(epoch_of(message)):
             return answers
-        yielding = self._yield_to(sender, now)
+        step_down_actions = self._step_down_for(sender, now)
         if isinstance(message, Accept):
             self._shared.known_view.learn(message.view, message.in_force)
-        return [*yielding, *answers]
+        return [*step_down_actions, *answers]
 
     def _on_heartbeat(self, sender: MemberId, message: Heartbeat, now: int) -> list[Action]:
         known_primary, witness = self._shared.known_primary, self._shared.witness
         newest = max(witness.promised, known_primary.epoch)
         if message.epoch < newest:
             return [Send(sender, Refused(message.epoch, newest))]
-        yielding = self._yield_to(sender, now)
+        step_down_actions = self._step_down_for(sender, now)
         known_primary.follow(sender, message.epoch)
         # The ack needs no sync: it states only that no higher epoch is promised, and promises reach memory first.
         accepted = NO_EPOCH if witness.accepted is None else witness.accepted.epoch
         ack = HeartbeatAck(message.epoch, message.sequence, self._shared.healthy, accepted, witness.in_force)
-        return [*yielding, Send(sender, ack), *self._commit(message.epoch, message.committed)]
+        return [*step_down_actions, Send(sender, ack), *self._commit(message.epoch, message.committed)]
 
     def _commit(self, epoch: Epoch, index: int) -> list[Action]:
         """Publish the state committed up to an index, and save the index; no answer depends on that save."""
@@ -308,7 +308,7 @@
     def _on_leave(self, sender: MemberId, standbys: Collection[MemberId], now: int) -> list[Action]:
         """Grant the sender's leave, or send the sender the view, which also shows that this member is alive."""
         self._shared.liveness.record_leaving(sender, now)
-        granted = self._machine.release(sender, standbys, now)
+        granted = self._machine.grant_leave(sender, standbys, now)
         return [*self._shared.known_view.notices_for(sender)] if granted is None else [Send(sender, granted)]
 
     def _on_snapshot_message(self, sender: MemberId, message: FetchChunk | Chunk | Install, now: int) -> list[Action]:
@@ -319,9 +319,9 @@
                 return [] if chunk is None else [Send(sender, chunk)]
             case Chunk():
                 return self._on_chunk(message, now)
-        if self._shared.witness.refuses(message.epoch) or not self._responder.needs(message):
+        if self._shared.witness.refuses(message.epoch) or not self._responder.needs_install(message):
             return self._respond(sender, message, now)
-        return [*self._yield_to(sender, now), *self._shared.receiver.take_offer(sender, message, now)]
+        return [*self._step_down_for(sender, now), *self._shared.receiver.take_offer(sender, message, now)]
 
     def _on_chunk(self, chunk: Chunk, now: int) -> list[Action]:
         """Store a chunk; after the last chunk, process the message that waited for the state."""
--- a/canvasbeam/replication/primary.py
+++ b/canvasbeam/replication/primary.py
@@ -53,7 +53,7 @@
         me: MemberId,
         view: View,
         replica: Replica,
-        began_at: Position,
+        start_position: Position,
         *,
         apply: ApplyChange,
         liveness: MemberLiveness,
@@ -63,7 +63,7 @@
     ) -> None:
         self.me = me
         self.view = view
-        self.began = now
+        self.began_at = now
         self.pending: list[PendingCall] = []
         self._replica = replica
         self._apply = apply
@@ -71,14 +71,14 @@
         self._timing = timing
         self._log = ChangeLog(replica.state.index)
         self.catch_up = CatchUp(
-            view.epoch, began_at, replica=replica, log=self._log, snapshots=snapshots, timing=timing
+            view.epoch, start_position, replica=replica, log=self._log, snapshots=snapshots, timing=timing
         )
         self._committed = replica.state.index
         self._progress = {
             member: ReplicaProgress(ChangeFlow(self._log, self._committed), timing) for member in view.replicas
         }
         self._rounds = HeartbeatRounds(view.witnesses, now)
-        self._in_force_at: set[MemberId] = set()  # members whose disk marks the view as in force
+        self._in_force_on_disk: set[MemberId] = set()  # members whose disk marks the view as in force
 
     def begin(self, now: int) -> list[Action]:
         """Announce that the view is in force, and publish the whole state as committed."""
@@ -138,7 +138,7 @@
         """Answer with the committed state after a heartbeat round has confirmed this primary."""
         return self._await_confirmation(PendingCall(call, now), now)
 
-    def adopt(self, pending: Sequence[PendingCall], now: int) -> list[Action]:
+    def resume_calls(self, pending: Sequence[PendingCall], now: int) -> list[Action]:
         """Resume the calls of the previous view, which this member also led and whose whole state was kept."""
         actions: list[Action] = []
         for call in pending:
@@ -154,15 +154,15 @@
         """Process a confirmation of the epoch; send the view to a sender that lacks the view."""
         self._rounds.take_answer(sender, message.sequence)
         actions: list[Action] = []
-        if sender in self.view.members and self._misses_view(sender, message):
+        if sender in self.view.members and self._lacks_view(sender, message):
             actions.append(Send(sender, Accept(self.view, in_force=True)))
         return actions + self._answer()
 
-    def _misses_view(self, sender: MemberId, message: HeartbeatAck) -> bool:
+    def _lacks_view(self, sender: MemberId, message: HeartbeatAck) -> bool:
         """Return True if the sender lacks the view, or has not confirmed in a reconfiguration that it is in force."""
         if message.accepted < self.view.epoch or not message.in_force:
             return True
-        return not (self.is_reconfiguration_complete or sender in self._in_force_at)
+        return not (self.is_reconfiguration_complete or sender in self._in_force_on_disk)
 
     @property
     def is_reconfiguration_complete(self) -> bool:
@@ -172,12 +172,12 @@
         """
         if set(self.view.witnesses) == set(self.view.previous_witnesses):
             return True
-        return is_majority(self._in_force_at, self.view.witnesses)
+        return is_majority(self._in_force_on_disk, self.view.witnesses)
 
     def take_accepted(self, sender: MemberId, message: Accepted) -> list[Action]:
         """Process a witness's `Accepted`; record the witness if its disk marks the view as in force."""
         if message.in_force:
-            self._in_force_at.add(sender)
+            self._in_force_on_disk.add(sender)
         return self._answer()
 
     def take_appended(self, sender: MemberId, message: Appended, now: int) -> list[Action]:
@@ -248,7 +248,7 @@
         return [Reply(call.call, call.failure or Committed(state)) for call in ready]
 
     def _end_overdue_calls(self, now: int) -> list[Action]:
-        overdue = [call for call in self.pending if now - call.began > self._timing.call_timeout_ns]
+        overdue = [call for call in self.pending if now - call.began_at > self._timing.call_timeout_ns]
         if not overdue:
             return []
         self.pending = [call for call in self.pending if call not in overdue]
--- a/canvasbeam/replication/primary_role.py
+++ b/canvasbeam/replication/primary_role.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection, Sequence
 
 from canvasbeam.errors import Failure, ResultCode
-from canvasbeam.replication.calls import PendingCall, replies_to_lost
+from canvasbeam.replication.calls import PendingCall, primary_lost_replies
 from canvasbeam.replication.candidate import Candidate
 from canvasbeam.replication.control_state import Change
 from canvasbeam.replication.messages import (
@@ -39,7 +39,7 @@
         super().__init__(Role.PRIMARY, shared)
         shared.known_view.learn(view, in_force=True)
         shared.known_primary.follow(shared.me, view.epoch)
-        self._leave_out_overdue(candidate, view, now)
+        self._exclude_late_witnesses(candidate, view, now)
         self.primary = Primary(
             shared.me,
             view,
@@ -60,8 +60,8 @@
     def begin(self, candidate: Candidate, pending: Sequence[PendingCall], now: int) -> list[Action]:
         """Announce the view; resume the pending calls if this member's own state was kept, otherwise fail them."""
         if candidate.source == self._shared.me:
-            return [*self.primary.begin(now), *self.primary.adopt(pending, now)]
-        return [*replies_to_lost(pending), *self.primary.begin(now), *self.primary.adopt((), now)]
+            return [*self.primary.begin(now), *self.primary.resume_calls(pending, now)]
+        return [*primary_lost_replies(pending), *self.primary.begin(now), *self.primary.resume_calls((), now)]
 
     def tick(self, now: int) -> Outcome:
         """Detect a lost quorum, stuck replicas and an outdated view; otherwise send the messages that are due."""
@@ -101,7 +101,7 @@
             return Outcome()
         if sender in primary.view.replicas:
             return Outcome(event=RoleEvent.EPOCH_REFUSED)
-        is_steady = now - primary.began >= self._shared.timing.steady_after_ns
+        is_steady = now - primary.began_at >= self._shared.timing.steady_after_ns
         if primary.catch_up.has(sender) and is_steady:
             return Outcome(event=RoleEvent.VIEW_OUTDATED)  # the sender can catch up only in a higher epoch
         return Outcome()
@@ -124,7 +124,7 @@
         """Answer with the committed state after a majority of the witnesses has confirmed this primary."""
         return self.primary.read(call, now)
 
-    def release(self, member: MemberId, standbys: Collection[MemberId], now: int) -> LeaveGranted | None:
+    def grant_leave(self, member: MemberId, standbys: Collection[MemberId], now: int) -> LeaveGranted | None:
         """Return a grant if `member` is no replica of the view and no standby may still replace it as a witness."""
         primary = self.primary
         if member in primary.view.replicas or not primary.is_reconfiguration_complete:
@@ -156,7 +156,7 @@
         del now
         return False
 
-    def _leave_out_overdue(self, candidate: Candidate, view: View, now: int) -> None:
+    def _exclude_late_witnesses(self, candidate: Candidate, view: View, now: int) -> None:
         """Record witnesses that promised too late as failed, so that they are not added as replicas again at once."""
         liveness = self._shared.liveness
         for member in view.witnesses:
--- a/canvasbeam/replication/replica_progress.py
+++ b/canvasbeam/replication/replica_progress.py
@@ -15,36 +15,36 @@
     def __init__(self, flow: ChangeFlow, timing: ReplicationTiming) -> None:
         self.flow = flow
         self._timing = timing
-        self._owes_since: int | None = None
+        self._unconfirmed_since: int | None = None
 
     def expect_confirmation(self, now: int) -> None:
         """Record that a change awaits the replica's confirmation."""
-        if self._owes_since is None:
-            self._owes_since = now
+        if self._unconfirmed_since is None:
+            self._unconfirmed_since = now
 
     def confirm(self, index: int, newest: int, now: int) -> bool:
         """Record that the replica has all changes up to an index; return False if the index was confirmed before."""
         if not self.flow.confirm(index, now):
             return False
-        self._owes_since = now if index < newest else None
+        self._unconfirmed_since = now if index < newest else None
         return True
 
     def is_resend_due(self, now: int) -> bool:
         """Return True if the changes in flight were probably lost."""
-        patience = self._timing.resend_interval_ns + self._time_to_send()
-        return self._owes_since is not None and now - self.flow.last_sent >= patience
+        resend_delay = self._timing.resend_interval_ns + self._transfer_time_ns()
+        return self._unconfirmed_since is not None and now - self.flow.last_sent >= resend_delay
 
     def is_stuck(self, now: int) -> bool:
         """Return True if a confirmation is overdue for so long that the view should exclude the replica."""
-        if self._owes_since is None:
+        if self._unconfirmed_since is None:
             return False
-        return now - self._owes_since > self._timing.unresponsive_after_ns + self._time_to_send()
+        return now - self._unconfirmed_since > self._timing.unresponsive_after_ns + self._transfer_time_ns()
 
     def discount_stall(self, stall: int) -> None:
         """Exclude a stall of this process, in nanoseconds, from the wait for a confirmation."""
-        if self._owes_since is not None:
-            self._owes_since += stall
+        if self._unconfirmed_since is not None:
+            self._unconfirmed_since += stall
 
-    def _time_to_send(self) -> int:
+    def _transfer_time_ns(self) -> int:
         """Return the transfer time of all unconfirmed changes on a slow link, in nanoseconds."""
         return self.flow.unconfirmed_bytes * SECOND // SLOW_LINK_BYTES_PER_S
--- a/canvasbeam/replication/responder.py
+++ b/canvasbeam/replication/responder.py
@@ -29,10 +29,10 @@
 from canvasbeam.replication.views import Epoch, MemberId
 from canvasbeam.replication.witness import Witness
 
-ToResponder = Prepare | Fetch | Install | Accept | Append
+LeaderRequest = Prepare | Fetch | Install | Accept | Append
 
 
-def epoch_of(message: ToResponder) -> Epoch:
+def epoch_of(message: LeaderRequest) -> Epoch:
     """Return the epoch in which the sender leads or is a candidate."""
     return message.view.epoch if isinstance(message, Accept) else message.epoch
 
@@ -45,7 +45,7 @@
         self._replica = replica
         self._snapshots = snapshots
 
-    def answer(self, sender: MemberId, message: ToResponder, healthy: bool) -> list[Action]:
+    def answer(self, sender: MemberId, message: LeaderRequest, healthy: bool) -> list[Action]:
         """Execute or refuse a request; return the saves and the answer."""
         epoch = epoch_of(message)
         if self._witness.refuses(epoch):
@@ -54,7 +54,7 @@
             case Prepare():
                 return self._promise(sender, epoch, healthy)
             case Fetch():
-                return self._give_state(sender, epoch)
+                return self._send_state(sender, epoch)
             case Install():
                 return self._install(sender, message)
             case Accept():
@@ -67,18 +67,18 @@
         actions: list[Action] = []
         if epoch != witness.promised:
             witness.promise(epoch)
-            actions.append(witness.to_save())
+            actions.append(witness.save_action())
         # The answer is sent only after the promise and every change up to the replica's position are synced.
         promise = Promise(epoch, witness.accepted, witness.in_force, self._replica.position, healthy)
         return [*actions, Send(sender, promise)]
 
-    def _give_state(self, sender: MemberId, epoch: Epoch) -> list[Action]:
+    def _send_state(self, sender: MemberId, epoch: Epoch) -> list[Action]:
         if epoch != self._witness.promised:
             return []
         offered = self._snapshots.offer(self._replica.state)
         return [Send(sender, Fetched(epoch, self._replica.position, offered))]
 
-    def needs(self, message: Install) -> bool:
+    def needs_install(self, message: Install) -> bool:
         """Return True if `message` would change the replica: the epoch differs, or the offered state is newer."""
         replica = self._replica
         if replica.epoch != message.epoch:
@@ -89,20 +89,20 @@
         replica = self._replica
         state = message.state
         actions: list[Action] = []
-        if self.needs(message):
+        if self.needs_install(message):
             if isinstance(state, SnapshotId) or (state is None and replica.position != message.position):
                 return [Send(sender, Installed(message.epoch, stored=False))]
             self._witness.promise(message.epoch)
             replica.install(message.epoch, replica.state if state is None else state)
-            actions = [self._witness.to_save(), SaveInstalled(message.epoch, state)]
+            actions = [self._witness.save_action(), SaveInstalled(message.epoch, state)]
         # The answer is sent only after the state and the promise are synced.
         return [*actions, Send(sender, Installed(message.epoch, stored=True, index=replica.state.index))]
 
     def _accept(self, sender: MemberId, message: Accept) -> list[Action]:
         witness = self._witness
-        before = witness.to_save()
+        before = witness.save_action()
         witness.accept(message.view, message.in_force)
-        actions: list[Action] = [] if witness.to_save() == before else [witness.to_save()]
+        actions: list[Action] = [] if witness.save_action() == before else [witness.save_action()]
         # The answer is sent only after the accepted view is synced.
         return [*actions, Send(sender, Accepted(message.view.epoch, witness.in_force))]
 
--- a/canvasbeam/replication/role_machine.py
+++ b/canvasbeam/replication/role_machine.py
@@ -62,7 +62,7 @@
         del now
         return [Reply(call, self._shared.known_primary.refusal())]
 
-    def release(self, member: MemberId, standbys: Collection[MemberId], now: int) -> LeaveGranted | None:
+    def grant_leave(self, member: MemberId, standbys: Collection[MemberId], now: int) -> LeaveGranted | None:
         """Return the grant for a member that leaves, or None if this machine cannot decide on the grant yet."""
         del member, standbys, now
         return None
--- a/canvasbeam/replication/witness.py
+++ b/canvasbeam/replication/witness.py
@@ -38,6 +38,6 @@
         self.accepted = view
         return True
 
-    def to_save(self) -> SaveWitness:
+    def save_action(self) -> SaveWitness:
         """Return the save that must be durable before an answer that depends on the witness is sent."""
         return SaveWitness(self.promised, self.accepted, self.in_force)
