--- a/canvasbeam/replication/calls.py
+++ b/canvasbeam/replication/calls.py
@@ -19,10 +19,10 @@
 
 @dataclass(slots=True)
 class PendingCall:
-    """A call that waits until `index` is committed and, if `sequence` > 0, that heartbeat round is confirmed."""
+    """A call that waits until `index` is committed and, if `sequence` > 0, heartbeat round `sequence` is confirmed."""
 
     call: int
-    began_at: int
+    began_at: int  # nanoseconds
     index: int = 0
     sequence: int = 0
     failure: Failure | None = None
--- a/canvasbeam/replication/candidate.py
+++ b/canvasbeam/replication/candidate.py
@@ -176,7 +176,7 @@
         return self._requests(now)
 
     def _requests(self, now: int) -> list[Send]:
-        """Return the requests of the current phase to the members that have not answered."""
+        """Return the current phase's requests for the members that have not answered."""
         self._last_sent = now
         match self.phase:
             case Phase.PRE_VOTING:
@@ -284,7 +284,7 @@
         return self._enter(Phase.INSTALLING, now)
 
     def _is_at_other_position(self, member: MemberId) -> bool:
-        """Return True if the member reported another position than the source's; False also if it reported none."""
+        """Return True if the member's promise has a position other than the source's; False without a promise."""
         answer = self._promises.get(member)
         return answer is not None and answer.position != self.source_position
 
--- a/canvasbeam/replication/member.py
+++ b/canvasbeam/replication/member.py
@@ -140,7 +140,7 @@
         return self._on_answer(sender, message, now)
 
     def tick(self, now: int) -> list[Action]:
-        """Process the passage of time. A gap above `stall_after_ns` between ticks means that this process stalled."""
+        """Return the actions due at `now`. A gap above `stall_after_ns` between ticks is a stall of this process."""
         shared = self._shared
         self._discount_stall(now)
         shared.snapshots.tick(now)
--- a/canvasbeam/replication/replica_progress.py
+++ b/canvasbeam/replication/replica_progress.py
@@ -6,7 +6,7 @@
 from canvasbeam.replication.timing import ReplicationTiming
 from canvasbeam.units import SECOND
 
-SLOW_LINK_BYTES_PER_S = 256 << 10  # lowest link rate for which the timeouts below allow
+SLOW_LINK_BYTES_PER_S = 256 << 10  # slowest link for which the resend and stuck-replica timeouts allow
 
 
 class ReplicaProgress:
--- a/canvasbeam/replication/role_machine.py
+++ b/canvasbeam/replication/role_machine.py
@@ -29,7 +29,7 @@
         return ()
 
     def tick(self, now: int) -> Outcome:
-        """Process the passage of time."""
+        """Return the actions due at `now`, and the event that ends the role, if any."""
         raise NotImplementedError
 
     def take_answer(self, sender: MemberId, answer: Answer, now: int) -> Outcome:
