--- a/canvasbeam/replication/primary.py
+++ b/canvasbeam/replication/primary.py
@@ -103,7 +103,7 @@
         for progress in self._progress.values():
             progress.discount_stall(stall)
 
-    def has_lost_contact(self, now: int) -> bool:
+    def has_lost_quorum(self, now: int) -> bool:
         """Return True if the last confirmed heartbeat round was sent more than `unresponsive_after_ns` ago."""
         return now - self._rounds.confirmed_at > self._timing.unresponsive_after_ns
 
--- a/canvasbeam/replication/primary_role.py
+++ b/canvasbeam/replication/primary_role.py
@@ -66,7 +66,7 @@
     def tick(self, now: int) -> Outcome:
         """Detect a lost quorum, stuck replicas and an outdated view; otherwise send the messages that are due."""
         shared, primary = self._shared, self.primary
-        if primary.has_lost_contact(now):
+        if primary.has_lost_quorum(now):
             return Outcome(event=RoleEvent.UNABLE_TO_LEAD)
         for member in primary.stuck_replicas(now):
             if member == shared.me:
--- a/tests/replication/test_change_histories.py
+++ b/tests/replication/test_change_histories.py
@@ -464,7 +464,7 @@
 
 
 def test_primary_that_does_not_notice_its_cut_is_found() -> None:
-    """Without `has_lost_contact` alone it still ends: it wants a view without those that it misses, and cannot win it.
+    """Without `has_lost_quorum` alone it still ends: it wants a view without those that it misses, and cannot win it.
 
     Where only its own messages are lost, it hears its successor; where only the others' are, nobody would take over.
     """
