--- a/canvasbeam/dispatch/__init__.py
+++ b/canvasbeam/dispatch/__init__.py
@@ -1,50 +1,52 @@
-"""Decide where each request goes: priority rings, queueing, retries, ejection, limits and learned expectations.
+"""Choose a worker for each request: priority rings, queueing, retries, ejection, concurrency limits and estimates.
 
-The package owns every placement decision of the scheduler in service and of the data plane. It is pure: events and the
-time go in, actions come out, and nothing here touches a clock, a socket, a file, or unseeded randomness. Start reading
-at `settings.py`, `events.py` and `actions.py`, the types that go in and out, then `dispatcher.py`, which hands events
-to the parts that `parts.py` makes. `collaborators.py` has the protocols of what may be given to a dispatcher, which
-`fleet_limits.py` and `language_model/` implement.
+The package makes every placement decision of the scheduler program and of the data plane. The package is pure: it maps
+events and the current time to actions, and its code uses no clock, socket, file or unseeded random numbers. Start
+reading at `settings.py`, `events.py` and `actions.py`, which define the input and output types, then `dispatcher.py`,
+which passes events to the parts that `parts.py` creates. `collaborators.py` defines the protocols of a dispatcher's
+optional collaborators, which `fleet_limits.py` and `language_model/` implement.
 
-Events, the parts that take them, and what may come of it:
+Events, the parts that handle each event, and the actions that may result:
 
 | event | parts, in order | actions |
 | --- | --- | --- |
 | `WorkersListed` | `endpoint_set`, `outlier_ejection`, `queue_estimates`, `worker_watch` | `WatchWorkers`, `SetTimer` |
-| `ClassesChanged` | all that depend on classes, by `parts.change_classes` | |
+| `ClassesChanged` | all parts that depend on request classes, through `parts.change_classes` | |
 | `RequestArrived` | `tenant_quotas`, `open_requests`, `pending_queue` | `RejectRequest`, `FailRequest` |
 | `AttemptStarted`, `AttemptProgressed` | `outlier_ejection`, `attempts`, `attempt_outcomes` | |
 | `StreamOpened` | `attempts`, `outlier_ejection`, `pending_queue` | `CancelAttempt` |
-| `AttemptEnded` | `attempts`, `attempt_outcomes`, then `pending_queue` or `open_requests` | as when a request ends |
+| `AttemptEnded` | `attempts`, `attempt_outcomes`, then `pending_queue` or `open_requests` | as at a request's end |
 | `ClientDisconnected` | `open_requests` | `CancelAttempt` |
 | `HealthCheckEnded` | `outlier_ejection` | |
 | `TimerFired` "watch" | `worker_watch` | `WatchWorkers` |
-| `TimerFired` "sweep" | `sweep_timers`, `worker_sweep`, `request_sweep` | all but `WatchWorkers` |
+| `TimerFired` "sweep" | `sweep_timers`, `worker_sweep`, `request_sweep` | all except `WatchWorkers` |
 | after all events | `pending_queue`, `worker_choice`, `attempts`, `sweep_timers` | `StartAttempt`, `SetTimer` |
 
-When a request ends, its answer is `RejectRequest` or `FailRequest` where it has none, and its open attempts end by
-`CancelAttempt`. Whatever ejects or returns a worker gives a `WriteLog`.
+At the end of a request, an unanswered request causes `RejectRequest` or `FailRequest`, and each open attempt causes
+`CancelAttempt`. Ejecting or restoring a worker causes `WriteLog`.
 
-State and its owners; the fields of the records in `records.py` are named by the part that owns them:
+State and its owners; the docstring of each part names the fields of `records.py` that the part owns:
 
 | state | owner |
 | --- | --- |
-| workers, priority rings, traits of the fleet | `endpoint_set` |
+| workers, priority rings, traits of the worker fleet | `endpoint_set` |
 | round-robin candidates of a pass | `round_robin` |
-| kinds of requests that no worker accepted, workers that changed since | `placement_cache` |
-| pending requests, ranks | `pending_queue` |
+| equivalence keys of requests that no worker accepted, workers changed since then | `placement_cache` |
+| pending requests and their ranks | `pending_queue` |
 | requests without a final answer | `open_requests` |
-| attempts in flight, load of workers | `attempts` |
+| attempts in flight, load of each worker | `attempts` |
 | concurrency limits | `concurrency_limits` |
-| errors, ejections, trials | `outlier_ejection` |
-| quickest starts, wait in queues | `late_starts` |
-| work sent to workers that warm up | `slow_start` |
-| service times | `service_estimates` |
-| requests of all dispatchers at workers | `queue_estimates` |
+| error counts, ejections, workers on trial | `outlier_ejection` |
+| fastest starts, mean wait in workers' queues | `late_starts` |
+| work sent to workers that are warming up | `slow_start` |
+| mean service times | `service_estimates` |
+| estimated load of each worker from all dispatchers | `queue_estimates` |
 | quotas of tenants | `tenant_quotas` |
-| when requests and workers are looked at next | `sweep_timers` |
-| the watch for endpoint lists | `worker_watch` |
+| time of the next check of each request and worker | `sweep_timers` |
+| watch on discovery's endpoint list | `worker_watch` |
 
-Without state: `worker_acceptance` (does a worker accept a request now), `worker_choice` (which worker), `retry_policy`
-(where and when again), `unresponsive` (missing notes), `attempt_outcomes` (what outcomes mean), the two sweeps.
+Modules without own state: `worker_acceptance` (whether a worker accepts a request now), `worker_choice` (which worker
+gets a request), `retry_policy` (where and when a request may be sent again), `unresponsive` (stalled attempts and
+unresponsive workers), `attempt_outcomes` (effects of starts and outcomes on other parts), `worker_sweep` and
+`request_sweep` (checks that are due).
 """
--- a/canvasbeam/dispatch/actions.py
+++ b/canvasbeam/dispatch/actions.py
@@ -1,7 +1,7 @@
-"""Hold the actions that a dispatcher returns: what its caller is to do, in this order.
+"""Define the actions that a dispatcher returns; the caller executes the actions in the order of the returned list.
 
-All are immutable. All times are whole nanoseconds on the clock of the events. The names that actions have on the
-simulator's wire are translated in `canvasbeam/adapter.py` alone.
+All actions are immutable. All times are whole nanoseconds on the clock of the events. Only `canvasbeam/adapter.py`
+translates actions to the names of the simulator's wire protocol.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt. A request's attempts are numbered 0, 1, 2 in the order of their sends."""
+    """Start an attempt. The attempts of a request are numbered 0, 1, 2 in the order in which they are sent."""
 
     request_id: str
     worker: str
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt."""
+    """Stop waiting for the outcome of one attempt."""
 
     request_id: str
     attempt: int
@@ -28,7 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: refused, and trying again is harmless."""
+    """Reject a request: the final answer, after which a retry by the client is harmless.
+
+    `come_back_ns` is the advised delay before the retry; 0 = no advice.
+    """
 
     request_id: str
     come_back_ns: int = 0
@@ -36,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: failed, with no promise about the effect."""
+    """Fail a request: the final answer, which leaves open whether the request was executed."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` at or after a time."""
+    """Set a timer that delivers a `TimerFired` event at or after `when_ns`."""
 
     token: str
     when_ns: int
@@ -51,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Check on a worker."""
+    """Send a health check to a worker."""
 
     worker: str
 
@@ -65,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    """Send a short message to one dispatcher, or to all where `peer` is -1."""
+    """Send a short message to one dispatcher, or to all dispatchers if `peer` is -1."""
 
     peer: int
     content: bytes
@@ -73,21 +76,21 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """A line for the people on call."""
+    """Write a line to the log for operators."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class WatchWorkers:
-    """Ask discovery to send changes, or to stop."""
+    """Start or stop the watch on discovery for changes of the endpoint list."""
 
     enable: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchWorkerList:
-    """Ask discovery for the complete list, once."""
+    """Request the complete endpoint list from discovery once."""
 
 
 Action = (
--- a/canvasbeam/dispatch/attempt_outcomes.py
+++ b/canvasbeam/dispatch/attempt_outcomes.py
@@ -1,6 +1,6 @@
-"""Learn from starts and outcomes of attempts how workers do.
+"""Update limits, estimates and ejections of workers from the starts and outcomes of attempts.
 
-Keeps no state: it tells each part what a start or an outcome means for it.
+The module keeps no state: it passes each start and outcome to the parts that own the affected state.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from canvasbeam.dispatch.records import TrackedAttempt, TrackedRequest, TrackedWorker
 from canvasbeam.dispatch.settings import RequestClass
 
-# The value of a load report that says how many requests more the worker could run.
+# Load-report field with the number of additional requests that the worker could run.
 FREE_SLOTS = "free_slots"
 
 
 class AttemptOutcomes:
-    """What starts and outcomes of attempts mean for the workers."""
+    """Updates worker state from the starts and outcomes of attempts."""
 
     def __init__(
         self,
@@ -44,11 +44,14 @@
         self.change_classes(context.settings.classes)
 
     def change_classes(self, classes: Sequence[RequestClass]) -> None:
-        """Take new classes of requests."""
+        """Replace the classes of requests."""
         self._highest_priority = max((known.priority for known in classes), default=0)
 
     def learn_start(self, attempt: TrackedAttempt) -> None:
-        """Learn from a start in time that the worker has capacity; a late one has already lowered its limit."""
+        """Update worker state when an attempt starts.
+
+        A start in time shows that the worker has capacity; a late start has already lowered the worker's limit.
+        """
         now = self._current.now
         if attempt.is_late:
             self._late_starts.learn_late_start(attempt, now)
@@ -58,7 +61,7 @@
             self._limits.raise_to(attempt)
 
     def learn_end(self, attempt: TrackedAttempt, outcome: Outcome, report: Mapping[str, float] | None) -> None:
-        """Learn from the outcome of an attempt, and the load report that came with it."""
+        """Update worker state from the outcome of an attempt, and from the load report that came with the outcome."""
         worker, request = attempt.worker, attempt.request
         if report and self._fleet.has_live_weights:
             self._queues.learn_free_slots(worker.kind, report.get(FREE_SLOTS, 0.0))
@@ -74,16 +77,15 @@
             case Outcome.RESET if self._may_be_preempted(request):
                 self._queues.preempted(worker, self._current.now)
             case Outcome.RESET:
-                self._ejection.eject(
-                    worker, "request lost"
-                )  # a worker that kills its requests has no capacity for more
+                # A worker that kills its own requests has no capacity for more requests.
+                self._ejection.eject(worker, "request lost")
             case Outcome.BROKEN | Outcome.UNSENT:
                 self._ejection.record_broken_connection(worker)
             case Outcome.TIMED_OUT if worker.last_seen < attempt.sent_at:
                 self._ejection.eject(worker, "no answer")
 
     def _learn_success(self, attempt: TrackedAttempt) -> None:
-        """Take a good answer: the worker is healthy, and its service time is learned."""
+        """Record a success: the worker is healthy, and the service time updates the estimates."""
         self._ejection.record_success(attempt.worker)
         if self._runs_batches:
             self._limits.raise_to(attempt)
@@ -91,21 +93,23 @@
         self._estimates.learn(attempt.request.request_class.name, attempt.worker.kind, took)
 
     def _learn_full(self, worker: TrackedWorker) -> None:
-        """Take an answer that the worker is full, and send nothing there for a while.
+        """Lower the limit of a worker that answered that it is full, and send the worker nothing for a while.
 
-        Without that wait a worker that is full without a request of ours would be asked again at once, for ever.
+        Without the pause, a worker that is full with requests of other dispatchers would get the next attempt at once,
+        in an endless loop.
         """
         now = self._current.now
         self._limits.cut_to(worker, worker.load, now)
         self._late_starts.learn_full_queue()
         worker.saturated_until = now + round(worker.regrow_wait * self._estimates.mean_at_ns(worker))
         if self._fleet.is_large and not worker.attempts:
-            # It drains, or others fill it: a health check tells which.
+            # The worker is draining or full with requests of other dispatchers; a health check tells which.
             self._ejection.eject(worker, "full")
 
     def _may_be_preempted(self, request: TrackedRequest) -> bool:
-        """Return whether a lost request may have been preempted by one of higher priority.
+        """Return True if a request of higher priority may have preempted a lost request.
 
-        In a large fleet that happens at healthy workers all the time; ejecting and checking each would cost capacity.
+        In a large fleet healthy workers preempt requests all the time, so ejecting and checking each of these workers
+        would cost capacity.
         """
         return self._fleet.has_live_weights and request.request_class.priority < self._highest_priority
--- a/canvasbeam/dispatch/attempts.py
+++ b/canvasbeam/dispatch/attempts.py
@@ -1,7 +1,7 @@
-"""Start and cancel attempts, and count them as load of their workers.
+"""Start and cancel attempts, and count attempts as load of their workers.
 
-Owns the attempts of each request and of each worker, and each worker's `load` and `unstarted`. It must never choose a
-worker, nor judge what an outcome leads to.
+Owns the attempts of each request and of each worker, and each worker's `load` and `unstarted`. The module must never
+choose a worker (`worker_choice` does) or react to an outcome (`attempt_outcomes` and `dispatcher` do).
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Attempts:
-    """The attempts in flight."""
+    """Starts, cancels and counts attempts in flight."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self._may_cancel = context.settings.limits.cancel
 
     def start(self, request: TrackedRequest, worker: TrackedWorker) -> None:
-        """Start an attempt of a request at a worker, and schedule the checks of both."""
+        """Start an attempt of a request at a worker, and schedule checks of the request and of the worker."""
         now = self._current.now
         on_new_connection = self._late_starts.needs_new_connection(worker, now)
         attempt = TrackedAttempt(
@@ -67,7 +67,7 @@
         self._current.actions.append(StartAttempt(request.id, worker.name))
 
     def _notify_sent(self, attempt: TrackedAttempt, now: int) -> None:
-        """Tell the limits over all dispatchers, and what is expected of workers, of an attempt."""
+        """Report an attempt to the fleet-wide limits and to the engine model."""
         request, worker = attempt.request, attempt.worker
         if self._fleet_limits is not None:
             is_retry = request.counted_attempts() > 0 or request.event.repeat
@@ -76,7 +76,7 @@
             self._engines.sent(now, worker.entry, request.event)
 
     def _count(self, attempt: TrackedAttempt, now: int) -> None:
-        """Count an attempt as load of its worker, which then stands last in its ring."""
+        """Count an attempt as load of its worker, and move the worker to the end of its ring."""
         request, worker = attempt.request, attempt.worker
         request.attempts.append(attempt)
         worker.attempts.append(attempt)
@@ -89,7 +89,7 @@
         self._slow_start.count_work(worker, request, now)
 
     def mark_started(self, attempt: TrackedAttempt) -> bool:
-        """Note the start of an attempt; return whether it was not known before."""
+        """Record the start of an attempt; return True if the start was not recorded before."""
         if attempt.started_at:
             return False
         now, worker, request = self._current.now, attempt.worker, attempt.request
@@ -119,13 +119,13 @@
             self._timers.schedule(request, now)
 
     def cancel(self, attempt: TrackedAttempt) -> None:
-        """Cancel an attempt, once, where the deployment permits it."""
+        """Cancel an attempt at most once, and only where the deployment permits cancellation."""
         if self._may_cancel and not attempt.is_cancelled:
             attempt.is_cancelled = True
             self._current.actions.append(CancelAttempt(attempt.request.id, attempt.number))
 
     def cancel_all(self, request: TrackedRequest, keep: TrackedAttempt | None = None) -> None:
-        """Cancel all open attempts of a request but one."""
+        """Cancel all open attempts of a request except `keep`."""
         for attempt in request.open_attempts():
             if attempt is not keep:
                 self.cancel(attempt)
--- a/canvasbeam/dispatch/collaborators.py
+++ b/canvasbeam/dispatch/collaborators.py
@@ -1,7 +1,7 @@
-"""Describe the parts that may be given to a dispatcher: limits over all dispatchers, and a language model's workers.
+"""Define the optional collaborators of a dispatcher: fleet-wide limits, and a model of inference engines.
 
-A dispatcher calls them with the current time, in nanoseconds on the clock of the events; they must never call it back,
-and must not depend on anything else than what they were told.
+A dispatcher passes the current time with each call, in nanoseconds on the clock of the events. A collaborator must
+never call the dispatcher, and its results must depend on nothing except the arguments of its calls.
 """
 
 from __future__ import annotations
@@ -12,41 +12,41 @@
 
 
 class FleetLimiter(Protocol):
-    """Limits that bind the sum over all dispatchers, of which this one keeps its quota share."""
+    """Limits on the sum over all dispatchers; each dispatcher enforces its own share of the limits."""
 
     def arrived(self, now: int, kind: str) -> None:
-        """Count a request for a kind of worker that arrived."""
+        """Count the arrival of a request for this kind of worker."""
 
     def may_retry(self, now: int, kind: str) -> bool:
-        """Return whether one more retry may be sent to a worker of this kind."""
+        """Return True if one more retry may be sent to a worker of this kind."""
 
     def may_send_while_warming_up(self, now: int, worker: str) -> bool:
-        """Return whether one more request may be sent to a worker, which may be warming up."""
+        """Return True if one more request may be sent to this worker, which may be warming up."""
 
     def sent(self, now: int, kind: str, worker: str, is_retry: bool) -> None:
-        """Count an attempt; `is_retry` where the request had been sent before."""
+        """Count an attempt; `is_retry` is True if the request was sent before."""
 
     def listed(self, now: int, entry: WorkerEntry) -> None:
-        """Take what discovery lists of a worker."""
+        """Update the state of a worker from its entry in an endpoint list."""
 
 
 class EngineModel(Protocol):
-    """What is expected of workers that run language models, from this dispatcher's own attempts."""
+    """Expected load and latency of workers that run language models, derived from this dispatcher's own attempts."""
 
     def has_capacity(self, now: int, entry: WorkerEntry, request: RequestArrived, time_left_ns: int) -> bool:
-        """Return whether the worker can start the request within what is left until its latency target."""
+        """Return True if the worker can start the request within `time_left_ns`, the time to the latency target."""
 
     def first_token_ns(self, now: int, entry: WorkerEntry, request: RequestArrived) -> float:
-        """Return the time until the worker is expected to give the request's first token, in nanoseconds."""
+        """Return the expected time until the first token of the request (TTFT) at the worker, in nanoseconds."""
 
     def sent(self, now: int, entry: WorkerEntry, request: RequestArrived) -> None:
         """Count an attempt of the request at the worker."""
 
     def started(self, now: int, worker: str, request_id: str) -> None:
-        """Take the request's first token from the worker."""
+        """Record that the worker has produced the first token of the request."""
 
     def ended(self, now: int, worker: str, request_id: str) -> None:
-        """Count the request off, which no longer occupies the worker."""
+        """Record that the request no longer occupies the worker."""
 
     def listed(self, now: int, entry: WorkerEntry) -> None:
-        """Take what discovery lists of a worker."""
+        """Update the state of a worker from its entry in an endpoint list."""
--- a/canvasbeam/dispatch/current_pass.py
+++ b/canvasbeam/dispatch/current_pass.py
@@ -1,7 +1,7 @@
-"""Hold what is common to the parts of a dispatcher during one call: the time, and the actions decided so far.
+"""Hold the state that the parts of a dispatcher share during one call: the time, and the actions decided so far.
 
-`Dispatcher.handle` begins a pass; its parts read the time and append actions. The order in which they are appended is
-the order in which the caller carries them out.
+`Dispatcher.handle` begins a pass; the parts read the time and append actions. The caller executes the actions in the
+order in which the parts appended them.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class CurrentPass:
-    """One call of a dispatcher: the time of its events, in nanoseconds, and the actions that they lead to."""
+    """One call of a dispatcher: the time of the events, in nanoseconds, and the resulting actions."""
 
     __slots__ = ("actions", "now")
 
@@ -19,6 +19,6 @@
         self.actions: list[Action] = []
 
     def begin(self, now: int) -> None:
-        """Begin the pass for the events that came in at this time."""
+        """Begin a pass for the events that arrived at time `now`, without actions so far."""
         self.now = now
         self.actions = []
--- a/canvasbeam/dispatch/dispatcher.py
+++ b/canvasbeam/dispatch/dispatcher.py
@@ -1,11 +1,12 @@
-"""Decide where each request goes: `Dispatcher` hands events to its parts and returns the actions that they decide.
+"""Choose a worker for each request: `Dispatcher` passes events to its parts and returns the resulting actions.
 
-Workers stand in priority rings by zone, the own zone first. Requests take even turns, in round-robin order, over the
-best ring with a worker that is available, and fall to the next ring only while the better one is saturated or down.
-A request that finds no worker stays pending here, where every worker can be chosen, not in the queue of one of them.
+Workers are grouped into priority rings by zone, the dispatcher's own zone first. Requests are spread round-robin over
+the best ring with an available worker, and overflow to the next ring only while every worker of the better ring is
+saturated or down. A request without an available worker stays pending in the dispatcher, where every worker can still
+be chosen, and not in the queue of one worker.
 
-The dispatcher owns no state but its parts; the package's docstring has the table of events, parts and owners. Pure: it
-must never read a clock or draw from an unseeded source.
+The dispatcher owns no state except its parts; the package docstring lists the events, the parts and the owners of
+state. The module is pure: it must never read a clock or use an unseeded random source.
 """
 
 from __future__ import annotations
@@ -37,12 +38,13 @@
 from canvasbeam.dispatch.sweep_timers import SWEEP_TIMER
 from canvasbeam.dispatch.worker_watch import WATCH_TIMER
 
-# A request that has so much less time left than the longest seen of its class is a client's retry.
+# A request whose time to its deadline is shorter than the longest seen in its class by more than this margin is
+# a client's retry.
 RETRY_MARGIN_NS = 10_000_000
 
 
 class Dispatcher:
-    """The decisions of one process: events and the time in, actions out."""
+    """Placement decisions of one process: maps events and the current time to actions."""
 
     def __init__(
         self,
@@ -51,9 +53,9 @@
         fleet_limits: FleetLimiter | None = None,
         engines: EngineModel | None = None,
     ) -> None:
-        """Decide by these settings; `seed` draws the order of workers that join together.
+        """Create a dispatcher; `seed` determines the order of workers that are listed together for the first time.
 
-        `fleet_limits` keeps limits over all dispatchers, and `engines` what is expected of language models' workers.
+        `fleet_limits` enforces limits over all dispatchers; `engines` models the workers that run language models.
         """
         self._settings = settings
         self._fleet_limits = fleet_limits
@@ -62,7 +64,7 @@
         self._parts = DispatcherParts(settings, seed, fleet_limits, engines)
 
     def handle(self, now: int, events: Sequence[Event]) -> list[Action]:
-        """Take the events that came in at this time and return what to do; a request without action is pending."""
+        """Process the events that arrived at time `now` and return actions; a request without an action is pending."""
         parts = self._parts
         parts.current.begin(now)
         parts.slow_start.begin_pass()
@@ -73,7 +75,7 @@
         return parts.current.actions
 
     def ejected_workers(self) -> list[str]:
-        """Return the names of the workers that are ejected now."""
+        """Return the names of the currently ejected workers."""
         return [worker.name for worker in self._parts.endpoints.workers.values() if worker.ejected_until]
 
     def _handle_event(self, event: Event) -> None:
@@ -101,13 +103,13 @@
     # --- settings and endpoint lists
 
     def _on_classes_changed(self, event: ClassesChanged) -> None:
-        """Take new classes; requests that were taken keep the class they came with."""
+        """Replace the request classes; requests that arrived earlier keep their class."""
         self._settings = replace(self._settings, classes=event.classes, kinds=event.kinds)
         self._classes = {known.name: known for known in event.classes}
         self._parts.change_classes(event.classes)
 
     def _on_workers_listed(self, event: WorkersListed) -> None:
-        """Apply an endpoint list, or take it that the watch for lists was lost."""
+        """Apply an endpoint list, or handle the loss of the watch on discovery."""
         parts, now = self._parts, self._parts.current.now
         if event.list_kind is ListKind.LOST:
             parts.watch.on_lost()
@@ -126,7 +128,7 @@
         parts.watch.on_listed(event.list_kind)
 
     def _notify_listed(self, event: WorkersListed, now: int) -> None:
-        """Tell the limits over all dispatchers, and what is expected of workers, what discovery lists."""
+        """Report the listed workers to the fleet-wide limits and to the engine model."""
         if self._fleet_limits is not None:
             for entry in event.entries:
                 self._fleet_limits.listed(now, entry)
@@ -137,7 +139,7 @@
     # --- arrival and departure of requests
 
     def _on_request_arrived(self, event: RequestArrived) -> None:
-        """Take a request: enqueue it, or answer at once where its deadline is too close."""
+        """Enqueue a request that has arrived, or answer at once where its deadline is too close."""
         parts, now = self._parts, self._parts.current.now
         request = self._track(event, now)
         if self._fleet_limits is not None:
@@ -150,10 +152,10 @@
         if now < request.answer_by:
             parts.queue.add(request)
         else:
-            parts.requests.reject_or_fail(request)  # a retry may have less time left than the next sweep is away
+            parts.requests.reject_or_fail(request)  # the deadline of a retry may be before the next sweep
 
     def _track(self, event: RequestArrived, now: int) -> TrackedRequest:
-        """Return the record of a request that has just arrived."""
+        """Create the record of a request that has just arrived."""
         request_class = self._classes[event.request_class]
         tells_prompts_apart = self._engines is not None and event.prompt is not None
         return TrackedRequest(
@@ -174,15 +176,15 @@
         )
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """End the request of a client that has left."""
+        """End the request of a client that has disconnected."""
         request = self._parts.requests.find(event.request_id)
         if request is not None and not request.is_done:
             self._parts.requests.close(request)
 
-    # --- notes and outcomes of attempts
+    # --- progress and outcomes of attempts
 
     def _on_attempt_progress(self, event: AttemptStarted | AttemptProgressed) -> None:
-        """Take a note that an attempt has started or goes on."""
+        """Record that an attempt has started or has made progress."""
         parts = self._parts
         attempt = parts.requests.find_open_attempt(event.request_id, event.attempt)
         if attempt is None:
@@ -193,7 +195,7 @@
             parts.outcomes.learn_start(attempt)
 
     def _on_stream_opened(self, event: StreamOpened) -> None:
-        """Bind the request to the attempt whose stream reaches the client, and cancel the others."""
+        """Bind a request to the attempt that streams its answer to the client, and cancel the other attempts."""
         parts = self._parts
         attempt = parts.requests.find_open_attempt(event.request_id, event.attempt)
         if attempt is None:
@@ -207,7 +209,7 @@
         parts.attempts.cancel_all(attempt.request, keep=attempt)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Take the outcome of an attempt: answer, retry, or go on with those still in flight."""
+        """Handle the outcome of an attempt: answer, retry, or wait for the attempts that are still in flight."""
         parts = self._parts
         attempt = parts.requests.find_open_attempt(event.request_id, event.attempt)
         if attempt is None:
@@ -225,11 +227,11 @@
         elif not request.is_done and not request.open_attempts():
             self._retry_or_finish(request)
         else:
-            parts.timers.schedule(request, parts.current.now)  # an attempt still in flight may be stuck
+            parts.timers.schedule(request, parts.current.now)  # another attempt in flight may be stuck
         parts.requests.forget_if_done(request)
 
     def _retry_or_finish(self, request: TrackedRequest) -> None:
-        """Enqueue a request without an open attempt for a retry, or end it where none is permitted."""
+        """Enqueue a request without open attempts for a retry, or end the request if a retry is not permitted."""
         parts, now = self._parts, self._parts.current.now
         if now < request.answer_by and parts.retries.may_send(request, now):
             parts.queue.add(request)
@@ -237,7 +239,7 @@
             parts.requests.reject_or_fail(request)
 
     def _on_health_check_ended(self, event: HealthCheckEnded) -> None:
-        """Take the result of a health check of an ejected worker."""
+        """Handle the result of a health check of an ejected worker."""
         worker = self._parts.endpoints.workers.get(event.worker)
         if worker is not None:
             self._parts.ejection.on_health_check_ended(worker, event)
@@ -245,7 +247,7 @@
     # --- timers and pending requests
 
     def _on_timer(self, token: str) -> None:
-        """Take a timer: watch for endpoint lists again, or sweep what is due."""
+        """Handle a timer: renew the watch on discovery, or sweep the workers and requests that are due."""
         parts = self._parts
         if token == WATCH_TIMER:
             parts.watch.on_timer()
@@ -258,10 +260,10 @@
             parts.timers.end_sweep()
 
     def _dispatch_pending(self) -> None:
-        """Start attempts of pending requests, best rank first, until no available worker accepts one."""
+        """Start an attempt of each pending request that an available worker accepts, best rank first."""
         parts, now = self._parts, self._parts.current.now
         current_pass = RoundRobinPass()
-        refused: set[EquivalenceKey] = set()  # kinds of requests that no worker accepts in this pass
+        refused: set[EquivalenceKey] = set()  # equivalence keys of requests that no worker accepts in this pass
         for request in parts.queue.in_order():
             if request.equivalence_key in refused and not request.attempts:
                 continue
@@ -276,7 +278,7 @@
         parts.cache.end_pass(is_queue_empty=not parts.queue)
 
     def _arm_sweep(self) -> None:
-        """Ask for the next sweep, where one is due earlier than the one asked for."""
+        """Set the sweep timer where a sweep is due earlier than the timer that is already set."""
         timers = self._parts.timers
         if self._parts.queue:
             timers.wake_by(timers.next_pending_sweep())
--- a/canvasbeam/dispatch/endpoint_set.py
+++ b/canvasbeam/dispatch/endpoint_set.py
@@ -1,9 +1,11 @@
-"""Keep the workers that discovery listed, in priority rings by zone.
+"""Track the workers that discovery lists, in priority rings by zone.
 
-Workers stand in two rings, those of the own zone before all others. The order within a ring is the round-robin order:
-workers that stay keep their positions, and new ones are appended in an order drawn from the dispatcher's seed.
+There are two rings: the workers of the dispatcher's own zone, then the workers of all other zones. The order within a
+ring is the round-robin order: workers that remain listed keep their positions, and new workers are appended in an order
+drawn from the dispatcher's seed.
 
-Owns the table of workers, the rings, and `FleetTraits`. It must never decide which worker a request goes to.
+Owns the table of workers, the rings, and `FleetTraits`. The module must never choose the worker for a request
+(`worker_choice` does).
 """
 
 from __future__ import annotations
@@ -17,27 +19,29 @@
 from canvasbeam.dispatch.records import FleetTraits, TrackedWorker
 from canvasbeam.dispatch.settings import Settings, Weights
 
-# From this many dispatchers of a zone for each worker there, each meets a worker too rarely to learn its limits.
+# A fleet is large from this ratio of dispatchers to workers in a zone: each dispatcher then sends to a worker too
+# rarely to learn the worker's limits.
 LARGE_FLEET_DISPATCHERS_PER_WORKER = 0.5
-# Fewer dispatchers in a zone learn the limits of its workers, however few these are.
+# A large fleet has at least this many dispatchers in a zone: fewer dispatchers learn the limits of the zone's workers,
+# however few workers the zone has.
 LARGE_FLEET_MIN_DISPATCHERS = 5
 
 OWN_ZONE_RING = 0
 OTHER_ZONES_RING = 1
-# Best ring first.
+# All priority rings, most preferred first.
 RINGS = (OWN_ZONE_RING, OTHER_ZONES_RING)
 
 
 @dataclass(slots=True)
 class EndpointChanges:
-    """What an endpoint list changed."""
+    """Changes caused by an endpoint list."""
 
     are_rings_rebuilt: bool = False
     restarted: list[TrackedWorker] = field(default_factory=list)
 
 
 class EndpointSet:
-    """The workers known from endpoint lists, and their priority rings."""
+    """Workers known from endpoint lists, and their priority rings."""
 
     def __init__(self, settings: Settings, seed: int, fleet: FleetTraits) -> None:
         self._settings = settings
@@ -48,7 +52,7 @@
 
     @property
     def workers(self) -> Mapping[str, TrackedWorker]:
-        """All workers that were ever listed, by name."""
+        """All workers that were ever listed, by worker name."""
         return self._workers
 
     def ring(self, number: int) -> list[TrackedWorker]:
@@ -60,14 +64,14 @@
         return OWN_ZONE_RING if worker.zone == self._settings.own_zone else OTHER_ZONES_RING
 
     def move_to_end(self, worker: TrackedWorker) -> None:
-        """Put a worker last in the round-robin order of its ring, where it is live."""
+        """Move a live worker to the end of the round-robin order of its ring; ignore a worker that is not live."""
         ring = self._rings[self.ring_of(worker)]
         if worker in ring:
             ring.remove(worker)
             ring.append(worker)
 
     def apply(self, event: WorkersListed) -> EndpointChanges:
-        """Apply an endpoint list; a worker that is absent from a complete list is gone."""
+        """Apply an endpoint list and return the changes; a worker absent from a complete list becomes `GONE`."""
         changes = EndpointChanges()
         is_complete = event.list_kind is not ListKind.CHANGES
         if is_complete:
@@ -75,27 +79,27 @@
         must_rebuild = is_complete
         for entry in event.entries:
             must_rebuild |= self._update_worker(entry, changes.restarted)
-        if must_rebuild:  # most lists only renew weights
+        if must_rebuild:  # most lists only update weights, which leave the rings unchanged
             self._rebuild_rings()
             changes.are_rings_rebuilt = True
         return changes
 
     def _mark_unlisted_as_gone(self, entries: Iterable[WorkerEntry]) -> None:
-        """Mark the workers that a complete list does not name as gone."""
+        """Mark the workers that are absent from a complete list as gone."""
         named = {entry.worker for entry in entries}
         for worker in self._workers.values():
             if worker.name not in named:
                 worker.state = WorkerState.GONE
 
     def _update_worker(self, entry: WorkerEntry, restarted: list[TrackedWorker]) -> bool:
-        """Take the entry of a worker; return whether its position in the rings may have changed."""
+        """Update a worker from its list entry; return True if the worker's position in the rings may have changed."""
         worker = self._workers.get(entry.worker)
         if worker is None:
             self._add_worker(entry)
             return True
         worker.entry = entry
         if entry.started_ns > worker.started_at:
-            # A process that was replaced by one of the same name.
+            # A later start time means that a new process with the same worker name replaced the previous process.
             worker.started_at = entry.started_ns
             restarted.append(worker)
         elif (
@@ -112,7 +116,7 @@
         return True
 
     def _add_worker(self, entry: WorkerEntry) -> None:
-        """Track a worker that was not listed before."""
+        """Add a worker that was not listed before."""
         worker = TrackedWorker(entry.worker, entry.zone, entry.kind, entry.cell, entry.state, entry.started_ns, entry)
         digest = blake2b(f" {worker.name}".encode(), digest_size=8).digest()
         worker.slow_start_offset = int.from_bytes(digest, "big")
@@ -120,9 +124,9 @@
         self._workers[entry.worker] = worker
 
     def _rebuild_rings(self) -> None:
-        """Rebuild the rings, and judge anew how many dispatchers share the own zone's workers.
+        """Rebuild the rings, and update the fleet traits.
 
-        New workers are shuffled: otherwise all dispatchers would begin with the same one.
+        New workers are shuffled, because all dispatchers would otherwise begin with the same worker.
         """
         for number, ring in enumerate(self._rings):
             live = {
@@ -137,7 +141,7 @@
         self._update_fleet_traits()
 
     def _update_fleet_traits(self) -> None:
-        """Judge by the size of the own zone's ring whether the fleet is a large one."""
+        """Update the fleet traits from the number of workers in the own-zone ring."""
         settings, fleet = self._settings, self._fleet
         dispatchers_in_zone = settings.dispatchers / len(settings.zones)
         workers_in_zone = len(self._rings[OWN_ZONE_RING])
--- a/canvasbeam/dispatch/events.py
+++ b/canvasbeam/dispatch/events.py
@@ -1,8 +1,8 @@
-"""Hold the events that a dispatcher takes, and the types that they carry.
+"""Define the events that a dispatcher handles, and the types that the events contain.
 
-All are immutable. All times are whole nanoseconds on one clock that only moves forward; its origin means nothing. A
-worker, request, key, zone, kind, class or tenant is named by an opaque string. The names that events have on the
-simulator's wire are translated in `canvasbeam/adapter.py` alone.
+All events are immutable. All times are whole nanoseconds on one monotonic clock with an arbitrary origin. Workers,
+requests, keys, zones, kinds of worker, classes and tenants are identified by opaque strings. Only
+`canvasbeam/adapter.py` translates events from the names of the simulator's wire protocol.
 """
 
 from __future__ import annotations
@@ -15,27 +15,29 @@
 
 
 class Outcome(Enum):
-    """How an attempt, or a probe, ended."""
+    """Outcome of an attempt or of a health check."""
 
     OK = "ok"
     ERROR = "error"
     FULL = "full"
     TIMED_OUT = "timed out"
     CONNECT_FAILED = "connect failed"
-    UNSENT = "broke unsent"  # an open connection broke before the request was sent in full
-    BROKEN = "broken"  # a connection broke after that, where this is told from a request that was killed
+    UNSENT = "broke unsent"  # an established connection broke before the request was sent in full
+    # An established connection broke after the request was sent; `RESET` where the sender of the event cannot tell a
+    # broken connection from a request that the worker killed.
+    BROKEN = "broken"
     RESET = "reset"
     CANCELLED = "cancelled"
     MOOT = "moot"
 
     @property
     def never_ran(self) -> bool:
-        """Whether this outcome proves that the request did not run."""
+        """True if this outcome proves that the request did not run."""
         return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.UNSENT, Outcome.MOOT)
 
 
 class WorkerState(Enum):
-    """What discovery says of a worker."""
+    """State of a worker according to discovery."""
 
     LIVE = "live"
     DRAINING = "draining"
@@ -43,7 +45,7 @@
 
 
 class ListKind(Enum):
-    """What a worker list holds."""
+    """Kind of an endpoint list: changes, all workers, or a cached copy; `LOST` reports that the watch ended."""
 
     CHANGES = "changes"
     COMPLETE = "complete"
@@ -53,11 +55,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """One worker as discovery lists it. `started_ns` is 0 for a start in the distant past.
+    """One worker as listed by discovery; `started_ns` is 0 for a start in the distant past.
 
-    `slots` is how many requests it runs at once, or 0 where that is not told; `cold_until_ns` is when it has warmed up.
-    `models` are the language models it holds, or none where that is not told.
-    Where the workers' rules are told by a configuration, `kind` is the service and `zone` the region.
+    `slots` is the number of requests that the worker runs at once, 0 = unknown; `cold_until_ns` is the end of warm-up.
+    `models` are the language models that the worker serves, empty = unknown.
+    Where a configuration defines the rules of the workers, `kind` is the service and `zone` the region.
     """
 
     worker: str
@@ -72,7 +74,7 @@
     models: tuple[str, ...] = ()
 
     def may_run(self, request_class: RequestClass, request: RequestArrived) -> bool:
-        """Whether it is of the class's kind, stands in one of its homes, and holds the request's model."""
+        """Return True if the worker's kind, zone and models permit a request of this class."""
         if request_class.kind is not None and request_class.kind != self.kind:
             return False
         if request_class.homes and self.zone not in request_class.homes:
@@ -83,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkersListed:
-    """What discovery tells of the workers."""
+    """An endpoint list arrived from discovery, or the watch on discovery ended."""
 
     list_kind: ListKind
     entries: tuple[WorkerEntry, ...] = ()
@@ -92,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassesChanged:
-    """From here on these are the classes and kinds. Requests that were taken keep the class they came with."""
+    """The request classes and kinds of worker were replaced; requests that arrived earlier keep their class."""
 
     classes: tuple[RequestClass, ...]
     kinds: tuple[str, ...]
@@ -100,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt, which workers keep once read: it is known by its name and what stands before it."""
+    """Part of a prompt that workers keep in the prefix cache, identified by its name and all preceding parts."""
 
     name: str
     tokens: int
@@ -108,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptEstimate:
-    """What a request for a language model asks of a worker."""
+    """Work of a request for a language model: prompt tokens, and the upper bound of generated tokens."""
 
     tokens_in: int
     most_tokens_out: int
@@ -118,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A request was taken; it is owed exactly one final answer by `deadline_ns`."""
+    """A request arrived, which must get exactly one final answer by `deadline_ns`."""
 
     request_id: str
     request_class: str
@@ -136,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamOpened:
-    """A streamed answer has begun; its attempt belongs to the client from here on."""
+    """The streamed answer of an attempt has begun, which binds the client to this attempt."""
 
     request_id: str
     attempt: int
@@ -146,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptStarted:
-    """A worker began to run an attempt."""
+    """A worker started to run an attempt."""
 
     request_id: str
     attempt: int
@@ -155,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptProgressed:
-    """A worker is still at an attempt and has done this share of it."""
+    """A worker reported progress on an attempt; `done` is the completed fraction."""
 
     request_id: str
     attempt: int
@@ -165,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt ended. `final` says that the request has its final answer."""
+    """An attempt ended; `final` is True if the request has its final answer."""
 
     request_id: str
     attempt: int
@@ -179,21 +181,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client left; nothing is owed any more."""
+    """The client of a request disconnected, so the request needs no answer."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set earlier is due."""
+    """A timer that the dispatcher set by `SetTimer` is due."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """A probe ended."""
+    """A health check of a worker ended."""
 
     worker: str
     outcome: Outcome
@@ -203,7 +205,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageReceived:
-    """Another dispatcher sent a message."""
+    """A message arrived from another dispatcher."""
 
     sender: int
     content: bytes
--- a/canvasbeam/dispatch/json_fields.py
+++ b/canvasbeam/dispatch/json_fields.py
@@ -1,7 +1,7 @@
-"""Read typed fields of JSON objects, and say which field is wrong.
+"""Read typed fields of JSON objects, and report invalid fields by name.
 
-The scheduler in service must start with no library but its HTTP parser, so this stands in place of a schema library.
-All functions raise `WireError`, which names the message (its field `t`, or the settings) and the field.
+This module replaces a schema library, because the scheduler program must start without any library except its HTTP
+parser. All functions raise `WireError`, which names the message (by its field `t`, or "settings") and the field.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 
 class WireError(Exception):
-    """The peer broke the wire; the message names what was wrong."""
+    """A received message, or the settings, is malformed; the error text names the invalid part."""
 
 
 def required(fields: Fields, name: str) -> object:
-    """Return a field that must be there."""
+    """Return a required field."""
     value: object = fields.get(name)
     if value is None:
         raise _wrong(fields, f"field {name} is missing")
@@ -27,53 +27,53 @@
 
 
 def whole_number(fields: Fields, name: str, default: int | None = None) -> int:
-    """Return a whole number; required where no default is given."""
+    """Return an integer field, which is required where no default is given."""
     value = required(fields, name) if default is None else fields.get(name)
     if value is None:
         return int(default or 0)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise _wrong(fields, f"field {name} is not a whole number")
+        raise _wrong(fields, f"field {name} must be an integer, got {type(value).__name__}")
     return value
 
 
 def number(fields: Fields, name: str, default: float) -> float:
-    """Return a number with a default."""
+    """Return a numeric field, or the default where the field is missing."""
     value = fields.get(name)
     if value is None:
         return default
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise _wrong(fields, f"field {name} is not a number")
+        raise _wrong(fields, f"field {name} must be a number, got {type(value).__name__}")
     return float(value)
 
 
 def text(fields: Fields, name: str) -> str:
-    """Return a required text."""
+    """Return a required string field."""
     value = required(fields, name)
     if not isinstance(value, str):
-        raise _wrong(fields, f"field {name} is not a text")
+        raise _wrong(fields, f"field {name} must be a string, got {type(value).__name__}")
     return value
 
 
 def choice(fields: Fields, name: str, choices: Mapping[Any, _Choice], default: _Choice | None = None) -> _Choice:
-    """Return what a word or code stands for; required where no default is given."""
+    """Return the element of `choices` under a field's value; the field is required where no default is given."""
     value = required(fields, name) if default is None else fields.get(name)
     if value is None and default is not None:
         return default
     if isinstance(value, list | dict) or value not in choices:
-        raise _wrong(fields, f"field {name} has the unknown value {value!r}")
+        raise _wrong(fields, f"field {name} must be one of {list(choices)}, got {value!r}")
     return choices[value]
 
 
 def section(fields: Fields, name: str) -> Fields:
-    """Return a nested object; empty where it is absent."""
+    """Return a nested object, or an empty object where the field is missing."""
     value = fields.get(name)
     if value is None:
         return {}
     if not isinstance(value, dict):
-        raise WireError(f"settings: {name} is not an object")
+        raise WireError(f"settings: {name} must be an object, got {type(value).__name__}")
     return value
 
 
 def _wrong(fields: Fields, what: str) -> WireError:
-    """Return the error that a field of a message, or of the settings, is wrong."""
+    """Return the error for an invalid field of a message, or of the settings."""
     return WireError(f"{fields.get('t', 'settings')}: {what}")
--- a/canvasbeam/dispatch/part_context.py
+++ b/canvasbeam/dispatch/part_context.py
@@ -1,4 +1,4 @@
-"""Hold what every part of a dispatcher may ask, so that a part is made with this and the parts that it depends on."""
+"""Hold the dependencies that all parts of a dispatcher share, in one argument for the constructor of each part."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PartContext:
-    """What the parts of one dispatcher have in common."""
+    """Dependencies that the parts of one dispatcher share."""
 
-    settings: Settings  # as at the start; later classes are told by `change_classes`
+    settings: Settings  # initial settings; `change_classes` passes later request classes to the parts
     current: CurrentPass
     timers: SweepTimers
     fleet: FleetTraits
     estimates: ServiceEstimates
-    fleet_limits: FleetLimiter | None = None  # limits over all dispatchers
-    engines: EngineModel | None = None  # expectations of language models' workers
+    fleet_limits: FleetLimiter | None = None  # limits on the sum over all dispatchers
+    engines: EngineModel | None = None  # model of the workers that run language models
--- a/canvasbeam/dispatch/parts.py
+++ b/canvasbeam/dispatch/parts.py
@@ -1,6 +1,6 @@
-"""Make the parts of a dispatcher, each with the parts that it asks.
+"""Create the parts of a dispatcher, each with the parts that it depends on.
 
-The order of their making is that of their dependencies: a part knows those made before it, and none made after it.
+The parts are created in the order of their dependencies: a part uses only parts that were created earlier.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class DispatcherParts:
-    """The parts of one dispatcher; the package's docstring says what each owns."""
+    """Parts of one dispatcher; the package docstring lists the state that each part owns."""
 
     def __init__(
         self, settings: Settings, seed: int, fleet_limits: FleetLimiter | None, engines: EngineModel | None
@@ -49,7 +49,8 @@
         self._context = PartContext(
             settings, self.current, self.timers, self.fleet, self.estimates, fleet_limits, engines
         )
-        # How long before its deadline a request is answered, so that the answer cannot cross the time-out.
+        # Time from the answer to a request to its deadline, in nanoseconds: an answer closer to the deadline could race
+        # with the timeout.
         self.answer_margin_ns = self.timers.shortest_ns + settings.quantum_ns
         self.endpoints = EndpointSet(settings, seed, self.fleet)
         self._make_estimates(settings)
@@ -59,14 +60,14 @@
         self._make_sweeps()
 
     def _make_estimates(self, settings: Settings) -> None:
-        """Make what is learned of queues, starts and changes at workers."""
+        """Create the placement cache, and the parts that estimate queues, start latency and response timeouts."""
         self.cache = PlacementCache()
         self.queues = QueueEstimates(settings, self.estimates)
         self.late_starts = LateStarts(settings, self.estimates, self.fleet, self.timers.shortest_ns)
         self.timeouts = ResponseTimeouts(settings, self.estimates, self.fleet)
 
     def _make_limits(self, settings: Settings, fleet_limits: FleetLimiter | None) -> None:
-        """Make what limits sends: retries, quotas, concurrency, slow start, ejection."""
+        """Create the parts that limit attempts: retries, quotas, concurrency, slow start, ejection."""
         self.retries = RetryPolicy(settings.limits, self.timers.shortest_ns, fleet_limits)
         self.quotas = TenantQuotas(settings.tenants, settings.dispatchers)
         self.limits = ConcurrencyLimits(self.estimates)
@@ -74,7 +75,7 @@
         self.ejection = OutlierEjection(self._context, self.cache)
 
     def _make_choice(self) -> None:
-        """Make what chooses the worker for a request."""
+        """Create the parts that choose the worker for a request."""
         self.acceptance = WorkerAcceptance(
             self._context,
             queues=self.queues,
@@ -88,7 +89,7 @@
         )
 
     def _make_request_flow(self, settings: Settings) -> None:
-        """Make what requests and their attempts go through."""
+        """Create the watch on discovery and the parts that process requests and attempts."""
         self.watch = WorkerWatch(settings, self.current)
         self.queue = PendingQueue(settings, self.timers, self.estimates)
         self.attempts = Attempts(
@@ -111,7 +112,7 @@
         )
 
     def _make_sweeps(self) -> None:
-        """Make what looks at requests and workers when something may be due for them."""
+        """Create the parts that check the workers and requests that are due in a sweep."""
         self.worker_sweep = WorkerSweep(
             self._context,
             attempts=self.attempts,
@@ -132,7 +133,7 @@
         )
 
     def change_classes(self, classes: Sequence[RequestClass]) -> None:
-        """Tell the parts that depend on the classes of requests of new ones."""
+        """Pass new request classes to the parts that depend on the classes."""
         self.timers.change_classes(classes)
         self.estimates.change_classes(classes)
         self.queue.change_classes(classes)
--- a/canvasbeam/dispatch/pending_queue.py
+++ b/canvasbeam/dispatch/pending_queue.py
@@ -1,9 +1,10 @@
-"""Hold the requests that no worker has accepted yet, in the order in which they are offered to workers.
+"""Hold the requests that no worker has accepted yet, in the order in which the requests are offered to workers.
 
-Requests that lost their value stand behind those that have not, requests beyond their tenant's quota behind the others,
-those of high priority first where the settings say so, and then those whose class can wait least.
+Requests that have lost their value rank last, and requests beyond their tenant's quota rank behind requests within the
+quota. After that, requests of high priority rank first where the settings say so, and then requests of the classes that
+tolerate the shortest wait.
 
-Owns the queue, the count of arrivals, and the longest time that requests of each class came with.
+Owns the queue, the count of arrivals, and the longest time between arrival and deadline seen in each class.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from canvasbeam.dispatch.sweep_timers import SweepTimers
 from canvasbeam.units import SECOND
 
-# Longer than the wait of any request, for classes whose answers have no value.
+# Wait assumed for classes whose answers have no value, in nanoseconds; longer than the wait of any request.
 NO_VALUE_WAIT_NS = 3600 * SECOND
 
 
@@ -26,7 +27,7 @@
 
 
 class PendingQueue:
-    """The pending requests, best rank first."""
+    """Pending requests, best rank first."""
 
     def __init__(self, settings: Settings, timers: SweepTimers, estimates: ServiceEstimates) -> None:
         self._timers = timers
@@ -46,14 +47,14 @@
         return tuple(self._requests)
 
     def change_classes(self, classes: Sequence[RequestClass]) -> None:
-        """Take new classes; requests that were ranked keep their ranks."""
+        """Replace the request classes; requests in the queue keep their ranks."""
         self._classes = tuple(classes)
         self._longest_time_left_ns.clear()
 
     def first_arrived_at(self, request_class: RequestClass, deadline: int, now: int) -> int:
-        """Return when the client asked first.
+        """Return the time of the client's first attempt, estimated from the time left to the deadline.
 
-        A client's retry has less time left than a first request: its latency target runs already.
+        A client's retry has less time left than a first attempt, as the latency target runs from the first attempt.
         """
         time_left = deadline - now
         longest = max(time_left, self._longest_time_left_ns.get(request_class.name, 0))
@@ -61,7 +62,7 @@
         return min(now, deadline - longest)
 
     def rank_arrival(self, request: TrackedRequest) -> None:
-        """Rank a request that has just arrived."""
+        """Assign the rank of a request that has just arrived."""
         self._arrivals += 1
         request_class = request.request_class
         is_late = request.event.repeat and not request_class.late_value
@@ -69,14 +70,14 @@
         request.rank = QueueRank(is_late, request.is_over_quota, priority, self._starts_by(request), self._arrivals)
 
     def rank_last(self, request: TrackedRequest) -> None:
-        """Put a pending request that has lost its value behind those that have not, the latest arrival first."""
+        """Rank a request that has lost its value behind all requests that still have value, latest arrival first."""
         self.remove(request)
         rank = request.rank
         request.rank = rank._replace(is_late=True, starts_by=-request.first_arrived_at)
         self.add(request)
 
     def add(self, request: TrackedRequest) -> None:
-        """Put a request into the queue, by its rank, unless it is there."""
+        """Insert a request by its rank; do nothing if the request is pending already."""
         if not request.is_pending:
             request.is_pending = True
             request.pending_since = self._timers.now
@@ -84,15 +85,15 @@
             self._timers.schedule(request, min(self._timers.next_pending_sweep(), request.answer_by))
 
     def remove(self, request: TrackedRequest) -> None:
-        """Take a request out of the queue, where it is there."""
+        """Remove a request from the queue; do nothing if the request is not pending."""
         if request.is_pending:
             request.is_pending = False
             self._requests.remove(request)
 
     def _starts_by(self, request: TrackedRequest) -> int:
-        """Return arrival plus the wait that the class can bear, longer for classes of less value for each second.
+        """Return arrival plus the wait that the class tolerates, longer for classes of less value per unit of work.
 
-        Not by the request's own service time: by that, large requests would all wait behind later small ones.
+        The request's own service time is not used, because large requests would then all wait behind later small ones.
         """
         request_class = request.request_class
         value = self._value_rate(request_class)
@@ -104,7 +105,7 @@
         return request.first_arrived_at + round(min(wait / value, NO_VALUE_WAIT_NS))
 
     def _value_rate(self, request_class: RequestClass) -> float:
-        """Return the value of a second of a class's work."""
+        """Return the value of a class per unit of work."""
         if self._value_by_work:
             return request_class.value
         return request_class.value / self._estimates.of_class_ns(request_class)
--- a/canvasbeam/dispatch/records.py
+++ b/canvasbeam/dispatch/records.py
@@ -1,7 +1,7 @@
-"""Hold what a dispatcher tracks: requests without a final answer, their attempts, the workers, and traits of the fleet.
+"""Define the records of a dispatcher: requests without a final answer, their attempts, workers, and fleet traits.
 
-The records decide nothing and call nothing. Each field is changed by the part of the package that owns the matter, and
-may be read by all; all times are nanoseconds on the clock of the events.
+The records contain no decisions. Each field is written only by the part of the package that owns the field, and may be
+read by all parts. All times are nanoseconds on the clock of the events.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from canvasbeam.dispatch.events import RequestArrived, WorkerEntry, WorkerState
 from canvasbeam.dispatch.settings import RequestClass
 
-# What makes requests alike for a worker: class, slots, expected service time, and the id where the prompt tells a
-# request from others.
+# Requests with the same key are equivalent for placement: class, slots, expected service time in nanoseconds, and the
+# request id where placement depends on the prompt, otherwise an empty string.
 EquivalenceKey = tuple[str, float, int, str]
 
 
 class QueueRank(NamedTuple):
-    """The order of pending requests, lowest first."""
+    """Sort key of pending requests; the lowest key is the best rank."""
 
-    is_late: bool  # it has lost its value
+    is_late: bool  # the request has lost its value
     is_over_quota: bool
-    priority: int  # the lower, the more urgent
-    starts_by: int
-    arrival: int  # the number of its arrival
+    priority: int  # lower numbers are more urgent
+    starts_by: int  # arrival plus the wait that the class tolerates, nanoseconds
+    arrival: int  # sequence number of the arrival
 
 
 UNRANKED = QueueRank(is_late=False, is_over_quota=False, priority=0, starts_by=0, arrival=0)
@@ -34,26 +34,27 @@
 
 @dataclass(slots=True)
 class FleetTraits:
-    """What the endpoint list and the settings say of the fleet of workers and of the dispatchers that share it."""
+    """Traits of the worker fleet and of the dispatchers that share it, from the endpoint list and the settings."""
 
-    is_large: bool = False  # many dispatchers share few workers: each meets a worker too rarely to learn its limits
-    has_live_weights: bool = False  # it is large, and the endpoint list carries the load of workers
-    lacks_queue_signal: bool = False  # it is large, and late starts are the only sign of a queue
+    # Many dispatchers share few workers, so that each dispatcher sends to a worker too rarely to learn its limits.
+    is_large: bool = False
+    has_live_weights: bool = False  # the fleet is large, and the endpoint list contains the current load of workers
+    lacks_queue_signal: bool = False  # the fleet is large, and late starts are the only sign of a queue at a worker
 
 
 @dataclass(slots=True, eq=False)
 class TrackedAttempt:
-    """One sending of a request to a worker."""
+    """One attempt to run a request at a worker."""
 
     number: int
     request: TrackedRequest
     worker: TrackedWorker
     sent_at: int
-    late_at: int  # from when on it is late without a start
-    load: float  # own slots in use at the worker with this one
-    on_new_connection: bool  # it may have to wait for a handshake
+    late_at: int  # time from which an attempt that has not started is late
+    load: float  # slots of this dispatcher's attempts in flight at the worker, including this attempt
+    on_new_connection: bool  # the attempt may wait for a connection handshake
     started_at: int = 0
-    last_seen: int = 0  # when the last note of it came
+    last_seen: int = 0  # time of the last start or progress event of the attempt; 0 = none
     is_late: bool = False
     counts_as_load: bool = True
     has_ended: bool = False
@@ -62,18 +63,18 @@
     is_cancelled: bool = False
 
     def is_queued_late(self) -> bool:
-        """Return whether it waits in its worker's queue for longer than others did."""
+        """Return True if the attempt waits in its worker's queue for longer than earlier attempts did."""
         return self.is_late and not self.started_at
 
 
 @dataclass(slots=True, eq=False)
 class TrackedRequest:
-    """A request without a final answer, and the attempts made for it."""
+    """A request without a final answer, and its attempts."""
 
     id: str
     request_class: RequestClass
     first_arrived_at: int
-    answer_by: int  # early enough before its deadline that the answer cannot cross the time-out
+    answer_by: int  # latest time of the answer, early enough not to race with the timeout at the deadline
     slots: float
     service_hint_ns: int
     is_over_quota: bool
@@ -85,25 +86,25 @@
     was_rejected_before: bool = False
     is_done: bool = False
     is_streaming: bool = False
-    check_at: float = inf  # when the sweep looks at it next
+    check_at: float = inf  # time when a sweep checks the request next; infinite = no check
     attempts: list[TrackedAttempt] = field(default_factory=list)
 
     def open_attempts(self) -> list[TrackedAttempt]:
-        """Return the attempts with no outcome yet."""
+        """Return the attempts without an outcome."""
         return [attempt for attempt in self.attempts if not attempt.has_ended]
 
     def counted_attempts(self) -> int:
-        """Count the attempts against the limit, without those whose connection broke before they were sent."""
+        """Return the number of attempts that count against the limit; attempts known to be unsent do not count."""
         return sum(not attempt.was_unsent for attempt in self.attempts)
 
     def possibly_executed(self) -> list[TrackedAttempt]:
-        """Return the attempts that may have run, or may yet."""
+        """Return the attempts that may have run or may still run."""
         return [attempt for attempt in self.attempts if not attempt.not_executed]
 
 
 @dataclass(slots=True, eq=False)
 class TrackedWorker:
-    """What this dispatcher knows of a worker, all of it from its own endpoint list and its own requests."""
+    """State of a worker as one dispatcher knows it from its own endpoint lists and its own requests."""
 
     name: str
     zone: str
@@ -112,25 +113,25 @@
     state: WorkerState
     started_at: int
     entry: WorkerEntry
-    listed_as: int = 0  # its number in the order in which workers were first listed
-    check_at: float = inf  # when the sweep looks at it next
-    # Its load and concurrency limit.
+    listed_as: int = 0  # position in the order in which workers were first listed
+    check_at: float = inf  # time when a sweep checks the worker next; infinite = no check
+    # Load and concurrency limit of the worker.
     attempts: list[TrackedAttempt] = field(default_factory=list)
-    load: float = 0.0  # own slots in use
-    unstarted: int = 0  # own attempts there whose start was not told
+    load: float = 0.0  # slots of this dispatcher's attempts in flight at the worker
+    unstarted: int = 0  # this dispatcher's attempts at the worker without a start event
     concurrency_limit: float = inf
     limit_changed_at: int = 0
-    regrow_wait: float = 1.0
+    regrow_wait: float = 1.0  # backoff before the limit is tried one higher, in mean service times
     saturated_until: int = 0
-    max_started_load: float = 0.0  # most own slots seen to start at once
-    # Its starts.
+    max_started_load: float = 0.0  # highest `load` of an attempt that started in time, in slots
+    # Start latency of attempts at the worker.
     quickest_start_ns: float = inf
-    late_starts: int = 0  # in a row
+    late_starts: int = 0  # consecutive late starts
     skipped_turns: int = 0
-    connections: int = 0  # own connections that are established, judged by the most own attempts at once
+    connections: int = 0  # estimate of established connections: the most concurrent attempts of this dispatcher
     connected_at: int = 0
-    round_robin_lead: float = 0.0  # turns that it is ahead of the others
-    # Its health.
+    round_robin_lead: float = 0.0  # round-robin turns ahead of the average worker
+    # Health and ejection of the worker.
     last_seen: int = 0
     last_served: int = 0
     errors: int = 0
@@ -139,11 +140,11 @@
     ejected_until: int = 0
     on_trial: bool = False
     is_checking_health: bool = False
-    # Slow start.
-    recent: deque[tuple[int, float]] = field(default_factory=deque)
-    slow_start_offset: int = 0  # the same at every dispatcher: where its count of slow-start turns begins
-    rejected_work: float = inf  # while warming up it has no capacity for this much work before `capacity_at`
+    # Slow start of the worker.
+    recent: deque[tuple[int, float]] = field(default_factory=deque)  # (send time, work) of requests during warm-up
+    slow_start_offset: int = 0  # start of the cycle of slow-start turns, the same at every dispatcher
+    rejected_work: float = inf  # least work that slow start rejects until `capacity_at`, nanoseconds times slots
     capacity_at: int = 0
-    # The estimate of what all dispatchers have there.
-    fleet_load: float = 0.0  # requests for each of its slots, as of `fleet_load_at`
+    # Estimated load of the worker from all dispatchers.
+    fleet_load: float = 0.0  # requests per slot at time `fleet_load_at`
     fleet_load_at: int = 0
--- a/canvasbeam/dispatch/retry_policy.py
+++ b/canvasbeam/dispatch/retry_policy.py
@@ -1,7 +1,7 @@
-"""Say where and when a request may be sent again, so that no effect happens twice.
+"""Decide where and when a request may be sent again without repeating an effect that is not idempotent.
 
-The policy keeps no state: it judges a request by its class, its attempts and the deployment's limits. It must never
-choose a worker; all times are nanoseconds on the clock of the events.
+The policy keeps no state: its decisions depend on a request's class and attempts, and on the deployment's limits. The
+policy must never choose a worker (`worker_choice` does). All times are nanoseconds on the clock of the events.
 """
 
 from __future__ import annotations
@@ -12,18 +12,19 @@
 
 
 class RetryPolicy:
-    """The rules for attempts after the first one, and for two at once."""
+    """Rules for retries, and for concurrent attempts of one request."""
 
     def __init__(self, limits: DispatchLimits, sweep_ns: int, fleet_limits: FleetLimiter | None) -> None:
-        """Keep to these limits; what is sent may be up to `sweep_ns` late."""
+        """Apply these limits; an attempt may be sent up to `sweep_ns` after the decision to send."""
         self._limits = limits
         self._sweep_ns = sweep_ns
         self._fleet_limits = fleet_limits
 
     def may_send(self, request: TrackedRequest, now: int) -> bool:
-        """Return whether a request may be sent, for the first time or again.
+        """Return True if a request may be sent now, for the first time or again.
 
-        No effect twice: what may have run is sent again only where and while its class permits.
+        A request that may have run is sent again only if its class permits a repeat, and only within the class's repeat
+        window, so that no effect happens twice.
         """
         if request.is_done or request.is_streaming or request.counted_attempts() >= self._max_attempts(request):
             return False
@@ -40,7 +41,7 @@
         return now + self._sweep_ns < possibly_executed[0].sent_at + request.request_class.window_ns
 
     def may_send_to(self, worker: TrackedWorker, request: TrackedRequest) -> bool:
-        """Return whether a request that may be sent again may go to this worker: not to where it already is."""
+        """Return True if a retry of a request may go to this worker, which must have no open attempt of the request."""
         if any(attempt.worker is worker for attempt in request.open_attempts()):
             return False
         if request.request_class.effect is not Effect.KEYED:
@@ -48,7 +49,7 @@
         return all(self.is_same_group(request, attempt.worker, worker) for attempt in request.possibly_executed())
 
     def is_same_group(self, request: TrackedRequest, one: TrackedWorker, other: TrackedWorker) -> bool:
-        """Return whether both workers drop each other's retries of this request."""
+        """Return True if both workers belong to one group that deduplicates retries of this request."""
         match request.request_class.scope:
             case Scope.ALL:
                 return True
@@ -58,9 +59,9 @@
                 return one.cell == other.cell
 
     def may_resend_after(self, attempt: TrackedAttempt, now: int) -> bool:
-        """Return whether an attempt may be cancelled to send its request again.
+        """Return True if an attempt may be cancelled so that its request is sent again.
 
-        Where two may not be out at once, the cancel must leave time and attempts for another.
+        Where concurrent attempts of a request are not permitted, a cancel must leave time and attempts for a retry.
         """
         request = attempt.request
         if request.counted_attempts() >= self._max_attempts(request):
@@ -71,11 +72,11 @@
         return now + margin < request.possibly_executed()[0].sent_at + request.request_class.window_ns
 
     def _max_attempts(self, request: TrackedRequest) -> int:
-        """Return how many workers a request may be sent to."""
+        """Return the maximum number of attempts of a request."""
         return request.request_class.max_attempts or self._limits.max_attempts
 
     def _is_within_fleet_limits(self, request: TrackedRequest, now: int) -> bool:
-        """Return whether the budget that all dispatchers share for retries has capacity for the request."""
+        """Return True if the retry budget that all dispatchers share permits sending the request."""
         if self._fleet_limits is None or not (request.counted_attempts() or request.event.repeat):
             return True
         return self._fleet_limits.may_retry(now, request.request_class.kind or "")
--- a/canvasbeam/dispatch/round_robin.py
+++ b/canvasbeam/dispatch/round_robin.py
@@ -1,9 +1,10 @@
 """Offer the workers of a priority ring to pending requests in round-robin order.
 
-Within a pass over pending requests each worker of a ring is tested once for all requests that are alike. A worker that
-accepts stays a candidate until it is given a request; then it stands last, or is dropped where it is saturated by that.
+Within a pass over the pending requests, each worker of a ring is tested once for all equivalent requests. A worker that
+accepts the requests stays a candidate until the worker gets a request; the worker then moves to the end of the
+candidates, or is dropped if the request saturates the worker.
 
-A `RoundRobinPass` owns the candidates of one pass; the order of the rings is kept by `EndpointSet`.
+A `RoundRobinPass` owns the candidates of one pass; `EndpointSet` owns the order of the rings.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 
 @dataclass(slots=True)
 class RingCandidates:
-    """A ring's workers for requests that are alike: those that accept them, and those not tested yet."""
+    """Workers of a ring for equivalent requests: the workers that accept the requests, and the untested workers."""
 
     accepting: list[TrackedWorker]
     untested: Iterator[TrackedWorker]
 
 
 class RoundRobinPass:
-    """The candidates for the requests of one pass, by ring and kind of request."""
+    """Candidates of one pass over the pending requests, by ring and equivalence key."""
 
     __slots__ = ("by_ring_and_kind",)
 
@@ -37,7 +38,7 @@
 
 
 class RoundRobin:
-    """Candidates in round-robin order."""
+    """Candidate workers in round-robin order."""
 
     def __init__(self, endpoints: EndpointSet, cache: PlacementCache, acceptance: WorkerAcceptance) -> None:
         self._endpoints = endpoints
@@ -47,7 +48,7 @@
     def candidates(
         self, ring: int, request: TrackedRequest, current_pass: RoundRobinPass, now: int
     ) -> Iterator[TrackedWorker]:
-        """Yield a ring's workers that accept requests like this one, in round-robin order, tested once in a pass."""
+        """Yield a ring's workers that accept this request, in round-robin order; test each worker once per pass."""
         key = (ring, request.equivalence_key)
         found = current_pass.by_ring_and_kind.get(key)
         if found is None:
@@ -60,7 +61,7 @@
                 yield worker
 
     def rotate(self, worker: TrackedWorker, current_pass: RoundRobinPass, now: int) -> None:
-        """Put a worker that was given a request last among the candidates, or drop it where it is saturated."""
+        """Move a worker that got a request to the end of the candidates, or drop the worker if it is saturated."""
         is_available = self._acceptance.is_available(worker, now)
         for candidates in current_pass.by_ring_and_kind.values():
             if worker in candidates.accepting:
@@ -69,9 +70,10 @@
                     candidates.untested = chain(candidates.untested, (worker,))
 
     def _workers_to_test(self, ring: int, kind: EquivalenceKey) -> tuple[TrackedWorker, ...]:
-        """Return the workers of a ring that may accept requests of this kind, in round-robin order.
+        """Return the workers of a ring that may accept requests with this equivalence key, in round-robin order.
 
-        Testing a ring of a thousand workers at each start would cost more time than there is.
+        For requests that no worker accepted, only the workers changed since then are returned: testing a ring of
+        a thousand workers at each start of an attempt would take more CPU time than available.
         """
         if not self._cache.is_unplaceable(kind):
             return tuple(self._endpoints.ring(ring))
@@ -85,9 +87,10 @@
         return tuple(changed)
 
     def _skips_turn(self, worker: TrackedWorker) -> bool:
-        """Return whether a worker that started our last requests late is skipped, and put it last.
+        """Return True if a worker skips this turn because of late starts, and move the worker to the end of its ring.
 
-        Where a dispatcher meets each worker rarely, slow workers would get as many requests as quick ones.
+        Without skipped turns, slow workers would get as many requests as fast workers where a dispatcher sends to each
+        worker rarely.
         """
         if not worker.skipped_turns:
             return False
--- a/canvasbeam/dispatch/settings.py
+++ b/canvasbeam/dispatch/settings.py
@@ -1,8 +1,8 @@
-"""Hold the settings of a dispatcher: classes of requests, tenants, limits, and the figures behind its rules.
+"""Define the settings of a dispatcher: request classes, tenants, deployment limits, and parameters of its rules.
 
-All are immutable and checked at their making; a value out of range raises `ValueError`. All times are whole
-nanoseconds. A zone, kind of worker, class or tenant is named by an opaque string. The names that settings have in the
-simulator's JSON are translated in `settings_json.py` alone.
+All settings are immutable and validated on construction; a value out of range raises `ValueError`. All times are whole
+nanoseconds. Zones, kinds of worker, classes and tenants are identified by opaque strings. Only `settings_json.py`
+translates settings from the names of the simulator's JSON.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Effect(Enum):
-    """What running a request of a class twice would do."""
+    """Consequence of running a request of a class twice: none, deduplicated by key, or a repeated effect."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -21,7 +21,7 @@
 
 
 class Scope(Enum):
-    """The group of workers that drop each other's retries of a keyed request."""
+    """Group of workers that deduplicate retries of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,14 +29,14 @@
 
 
 class Discovery(Enum):
-    """Whether lists come by themselves or must be asked for."""
+    """Delivery of endpoint lists: pushed by discovery, or sent at a dispatcher's request."""
 
     PUSHED = "pushed"
     ASKED = "asked"
 
 
 class ReportHow(Enum):
-    """How a worker's load reports reach a dispatcher."""
+    """Transport of a worker's load reports to a dispatcher: in answers, in health checks, or none."""
 
     ANSWERS = "answers"
     PROBES = "probes"
@@ -44,7 +44,7 @@
 
 
 class QueueOrder(Enum):
-    """How a worker serves its queue."""
+    """Order in which a worker serves its queue."""
 
     FIFO = "fifo"
     BACKFILL = "backfill"
@@ -52,7 +52,7 @@
 
 
 class Weights(Enum):
-    """What a worker's weight in the list means."""
+    """Meaning of a worker's weight in an endpoint list."""
 
     NONE = "none"
     NOMINAL = "nominal"
@@ -61,7 +61,7 @@
 
 
 def _require(condition: bool, name: str, rule: str) -> None:
-    """Raise a `ValueError` that names a field where its rule is broken."""
+    """Raise a `ValueError` that names the field and the violated rule if the condition is false."""
     if not condition:
         raise ValueError(f"{name} {rule}")
 
@@ -70,10 +70,10 @@
 class RequestClass:
     """One class of requests; raises `ValueError` where a field is out of range.
 
-    An answer in time comes within `latency_target_ns` plus `stretch` times the request's own work, and has the `value`;
-    a later one has `late_value` (0 to 1) of it. A keyed request may be sent again within `window_ns` of its first
-    attempt. `max_attempts` is the number of workers that a request may be sent to, or 0 for that of the limits. `homes`
-    are the zones in which the class may run, or none where it may run in all.
+    An answer within `latency_target_ns` plus `stretch` times the request's own work is in time and has the `value`; a
+    later answer has `late_value` (0 to 1) of the value. A keyed request may be sent again within `window_ns` of its
+    first attempt. `max_attempts` is the number of workers that a request may be sent to; 0 = the limit of the
+    deployment. `homes` are the zones in which the class may run; empty = all zones.
     """
 
     name: str
@@ -96,7 +96,7 @@
         _require(self.latency_target_ns > 0, "latency_target_ns", "must be positive")
         _require(self.deadline_ns > 0, "deadline_ns", "must be positive")
         _require(self.value >= 0, "value", "must not be negative")
-        _require(0 <= self.late_value <= 1, "late_value", "must lie between 0 and 1")
+        _require(0 <= self.late_value <= 1, "late_value", "must be between 0 and 1")
         _require(self.window_ns >= 0, "window_ns", "must not be negative")
         _require(self.stretch >= 0, "stretch", "must not be negative")
         _require(self.max_attempts >= 0, "max_attempts", "must not be negative")
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and its share of the service."""
+    """One tenant and its share of the service; `quota_per_s` is in requests per second, 0 = no quota."""
 
     name: str
     share: float = 0.0
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatchLimits:
-    """What a deployment permits."""
+    """Limits of a deployment, and the mechanisms that it permits; raises `ValueError` where a field is out of range."""
 
     cancel: bool = True
     probes: bool = True
@@ -143,12 +143,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What the workers bear, and what the rules allow; raises `ValueError` where a field is out of range.
+    """Capacity of workers, and tolerances of the deployment; raises `ValueError` where a field is out of range.
 
-    A worker that starts bears `initial_share` (above 0, up to 1) of its capacity, growing evenly over `warm_up_ns`. It
-    is overloaded by `overload_multiple` times its capacity within `overload_window_ns`. A worker that drains may be
-    sent requests for `drain_grace_ns`; an answer may be `answer_slack_ns` late; a complete endpoint list may be asked
-    for every `list_interval_ns`.
+    A worker that starts has `initial_share` (above 0, up to 1) of its capacity, which grows linearly over `warm_up_ns`.
+    Work of `overload_multiple` times its capacity within `overload_window_ns` overloads a worker. A draining worker may
+    be sent requests for `drain_grace_ns`; an answer may be `answer_slack_ns` late; a complete endpoint list may be
+    requested once per `list_interval_ns`.
     """
 
     answer_slack_ns: int = 0
@@ -162,7 +162,7 @@
     def __post_init__(self) -> None:
         _require(self.answer_slack_ns >= 0, "answer_slack_ns", "must not be negative")
         _require(self.drain_grace_ns >= 0, "drain_grace_ns", "must not be negative")
-        _require(0 < self.initial_share <= 1, "initial_share", "must lie above 0 and not above 1")
+        _require(0 < self.initial_share <= 1, "initial_share", "must be above 0 and at most 1")
         _require(self.warm_up_ns >= 0, "warm_up_ns", "must not be negative")
         _require(self.overload_multiple > 0, "overload_multiple", "must be positive")
         _require(self.overload_window_ns >= 0, "overload_window_ns", "must not be negative")
@@ -171,7 +171,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """How much each part of the result weighs."""
+    """Weights in the score of a run: of the whole run, and of the worst time window, class and tenant."""
 
     whole: float = 1.0
     worst_window: float = 0.0
@@ -181,13 +181,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a dispatcher is told at its start; raises `ValueError` where a field is out of range.
-
-    With `classes_later` it may start without classes: `ClassesChanged` brings them. With `priority_first` pending
-    requests of a higher priority go before all others. With `batches` workers run many requests at once, so one that
-    has not begun does not show its worker full, and a worker without any sign is ejected. A request that finds no
-    worker for `early_rejection_share` of its latency target is rejected, where that is not 0. A worker with a sooner
-    first token may be `max_round_robin_lead` turns ahead of the others. The sweep runs every few `quantum_ns`.
+    """Settings of a dispatcher at its start; raises `ValueError` where a field is out of range.
+
+    With `classes_later` a dispatcher may start without classes, and `ClassesChanged` supplies the classes later. With
+    `priority_first` pending requests of a higher priority rank before all others. With `batches` workers run many
+    requests at once, so a request that has not started does not show that its worker is full, and a worker without any
+    sign of activity is ejected. A request that finds no worker for `early_rejection_share` of its latency target is
+    rejected; 0 = disabled. A worker with an earlier expected first token may be `max_round_robin_lead` turns ahead of
+    the other workers; 0 = disabled. The sweep runs every few `quantum_ns`.
     """
 
     classes: tuple[RequestClass, ...]
@@ -231,7 +232,7 @@
 
 
 def check_classes(classes: Sequence[RequestClass], kinds: Sequence[str]) -> None:
-    """Raise `ValueError` where a class is named twice, or asks for a kind of worker that is not known."""
+    """Raise `ValueError` if two classes have the same name, or if a class requires an unknown kind of worker."""
     names = [request_class.name for request_class in classes]
     _require(len(set(names)) == len(names), "classes", "must not name a class twice")
     for request_class in classes:
--- a/canvasbeam/dispatch/settings_json.py
+++ b/canvasbeam/dispatch/settings_json.py
@@ -1,6 +1,6 @@
-"""Read the settings of a dispatcher from JSON, and the names of load-report values.
+"""Read the settings of a dispatcher, and the names of load-report fields, from JSON.
 
-The simulator's adapter and the scheduler in service are told the same object; its names are translated here alone.
+The simulator's adapter and the scheduler program receive the same JSON object; only this module translates its names.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
     "rate": "served_per_s",
     "fail_rate": "errors_per_s",
 }
-# The same values as the workers call them on sockets.
+# Load-report fields by the names that workers use in HTTP responses.
 PLAIN_REPORT_FIELDS = {
     "inflight": "in_flight",
     "queue": "queued",
@@ -53,7 +53,7 @@
 
 
 def read_class(fields: Fields, place: int, family: Fields, kinds: tuple[str, ...]) -> RequestClass:
-    """Return one entry of the settings' classes; some of its properties stand in lists by class."""
+    """Return one request class; some of its properties are in separate lists, at the index of the class."""
     kind = _in_list(family, "classKind", place, -1)
     return RequestClass(
         name=text(fields, "name"),
@@ -72,13 +72,13 @@
 
 
 def _in_list(family: Fields, name: str, place: int, default: _Number) -> _Number:
-    """Return the property of a class that stands at its place in a list."""
+    """Return the property of a class from the list under `name`, or the default where the list is shorter."""
     values: list[_Number] = family.get(name) or []
     return values[place] if place < len(values) else default
 
 
 def read_limits(fields: Fields) -> DispatchLimits:
-    """Return what the deployment permits."""
+    """Return the limits of the deployment."""
     return DispatchLimits(
         cancel=bool(fields.get("cancel")),
         probes=bool(fields.get("probes")),
@@ -97,7 +97,7 @@
 
 
 def read_rules(fields: Fields) -> Rules:
-    """Return the figures behind the rules."""
+    """Return the parameters of the rules."""
     return Rules(
         answer_slack_ns=whole_number(fields, "answerSlackNs", 0),
         drain_grace_ns=whole_number(fields, "stopSendingWithinNs", 0),
@@ -110,7 +110,7 @@
 
 
 def read_goal(fields: Fields) -> Goal:
-    """Return how much each part of the result weighs."""
+    """Return the weights in the score of a run."""
     return Goal(
         number(fields, "whole", 0.0),
         number(fields, "worstWindow", 0.0),
@@ -120,14 +120,14 @@
 
 
 def read_tenants(entries: Iterable[Fields]) -> tuple[Tenant, ...]:
-    """Return the tenants and their shares."""
+    """Return the tenants with their shares and quotas."""
     return tuple(
         Tenant(text(entry, "name"), number(entry, "share", 0.0), number(entry, "quotaPerS", 0.0)) for entry in entries
     )
 
 
 def report_names(columns: Iterable[str], family: Fields) -> dict[str, str]:
-    """Return what each value of a load report is called here."""
+    """Return the internal name of each load-report column."""
     names: dict[str, str] = dict(REPORT_FIELDS)
     for column in ("x0", "x1"):
         meaning = family.get("report" + column.upper())
@@ -136,14 +136,14 @@
 
 
 def plain_report_names(names: Mapping[str, str]) -> dict[str, str]:
-    """Return the names of report values on sockets: the plain ones, and those that the settings name."""
+    """Return the internal names of load-report fields in HTTP responses: default names, and names in the settings."""
     return {**PLAIN_REPORT_FIELDS, **names}
 
 
 def read_settings(options: Fields) -> tuple[Settings, dict[str, str]]:
-    """Return the settings of a dispatcher, and the names of its report values.
+    """Return the settings of a dispatcher, and the internal names of its load-report fields.
 
-    Raises `WireError` where a field is missing or of a wrong type, and `ValueError` where its value is out of range.
+    Raises `WireError` where a field is missing or of the wrong type, and `ValueError` where a value is out of range.
     """
     family, report = section(options, "specifics"), section(options, "report")
     kinds = tuple(options.get("skus") or ())
--- a/canvasbeam/dispatch/tenant_quotas.py
+++ b/canvasbeam/dispatch/tenant_quotas.py
@@ -1,7 +1,7 @@
-"""Keep what each tenant may still ask for within its quota, as a token bucket.
+"""Track the unused quota of each tenant in a token bucket.
 
-Owns the buckets. Each dispatcher sees its part of a tenant's requests and so has an equal part of the quota. It must
-never reject: a request beyond the quota only stands behind the others.
+Owns the buckets. Each dispatcher has an equal part of a tenant's quota, because it receives a part of the tenant's
+requests. The module must never reject a request: a request beyond the quota only ranks behind the others.
 """
 
 from __future__ import annotations
@@ -11,21 +11,22 @@
 from canvasbeam.dispatch.settings import Tenant
 from canvasbeam.units import SECOND
 
-# Seconds of quota that a tenant may save up before its jobs count as beyond its share.
+# Capacity of a tenant's token bucket, in seconds of the tenant's quota; a request is beyond the quota if the bucket is
+# empty.
 QUOTA_BURST_S = 2.0
 
 
 class TenantQuotas:
-    """What each tenant has saved up of its quota."""
+    """Token buckets with the unused quota of each tenant."""
 
     def __init__(self, tenants: Sequence[Tenant], dispatchers: int) -> None:
         self._tenants = tenants
         self._dispatchers = dispatchers
-        # By tenant: the requests saved up, and when that was reckoned.
+        # By tenant: the requests in the bucket, and the time of the last refill in nanoseconds.
         self._saved = {tenant.name: [QUOTA_BURST_S * tenant.quota_per_s, 0.0] for tenant in tenants}
 
     def is_beyond_share(self, tenant: str | None, now: int) -> bool:
-        """Take one request of a tenant from its quota; whether it is past the tenant's share."""
+        """Take one request from a tenant's bucket; return True if the request is beyond the tenant's quota."""
         for known in self._tenants:
             if known.name == tenant and known.quota_per_s > 0:
                 rate = known.quota_per_s / self._dispatchers
