--- a/canvasbeam/dispatch/attempt_outcomes.py
+++ b/canvasbeam/dispatch/attempt_outcomes.py
@@ -45,7 +45,7 @@
 
     def change_classes(self, classes: Sequence[RequestClass]) -> None:
         """Replace the classes of requests."""
-        self._highest_priority = max((known.priority for known in classes), default=0)
+        self._highest_priority = max((request_class.priority for request_class in classes), default=0)
 
     def learn_start(self, attempt: TrackedAttempt) -> None:
         """Update worker state when an attempt starts.
@@ -89,8 +89,8 @@
         self._ejection.record_success(attempt.worker)
         if self._runs_batches:
             self._limits.raise_to(attempt)
-        took = float(max(1, self._current.now - (attempt.started_at or attempt.sent_at)))
-        self._estimates.learn(attempt.request.request_class.name, attempt.worker.kind, took)
+        service_ns = float(max(1, self._current.now - (attempt.started_at or attempt.sent_at)))
+        self._estimates.learn(attempt.request.request_class.name, attempt.worker.kind, service_ns)
 
     def _learn_full(self, worker: TrackedWorker) -> None:
         """Lower the limit of a worker that answered that it is full, and send the worker nothing for a while.
--- a/canvasbeam/dispatch/attempts.py
+++ b/canvasbeam/dispatch/attempts.py
@@ -61,7 +61,7 @@
             on_new_connection=on_new_connection,
         )
         self._notify_sent(attempt, now)
-        self._count(attempt, now)
+        self._add_load(attempt, now)
         self._timers.schedule(worker, attempt.late_at)
         self._timers.schedule(request, min(self._timeouts.stall_time(attempt), request.answer_by))
         self._current.actions.append(StartAttempt(request.id, worker.name))
@@ -75,7 +75,7 @@
         if self._engines is not None:
             self._engines.sent(now, worker.entry, request.event)
 
-    def _count(self, attempt: TrackedAttempt, now: int) -> None:
+    def _add_load(self, attempt: TrackedAttempt, now: int) -> None:
         """Count an attempt as load of its worker, and move the worker to the end of its ring."""
         request, worker = attempt.request, attempt.worker
         request.attempts.append(attempt)
--- a/canvasbeam/dispatch/dispatcher.py
+++ b/canvasbeam/dispatch/dispatcher.py
@@ -60,7 +60,7 @@
         self._settings = settings
         self._fleet_limits = fleet_limits
         self._engines = engines
-        self._classes = {known.name: known for known in settings.classes}
+        self._classes = {request_class.name: request_class for request_class in settings.classes}
         self._parts = DispatcherParts(settings, seed, fleet_limits, engines)
 
     def handle(self, now: int, events: Sequence[Event]) -> list[Action]:
@@ -105,7 +105,7 @@
     def _on_classes_changed(self, event: ClassesChanged) -> None:
         """Replace the request classes; requests that arrived earlier keep their class."""
         self._settings = replace(self._settings, classes=event.classes, kinds=event.kinds)
-        self._classes = {known.name: known for known in event.classes}
+        self._classes = {request_class.name: request_class for request_class in event.classes}
         self._parts.change_classes(event.classes)
 
     def _on_workers_listed(self, event: WorkersListed) -> None:
@@ -157,7 +157,7 @@
     def _track(self, event: RequestArrived, now: int) -> TrackedRequest:
         """Create the record of a request that has just arrived."""
         request_class = self._classes[event.request_class]
-        tells_prompts_apart = self._engines is not None and event.prompt is not None
+        depends_on_prompt = self._engines is not None and event.prompt is not None
         return TrackedRequest(
             id=event.request_id,
             request_class=request_class,
@@ -171,7 +171,7 @@
                 request_class.name,
                 event.slots,
                 event.service_hint_ns,
-                event.request_id if tells_prompts_apart else "",
+                event.request_id if depends_on_prompt else "",
             ),
         )
 
@@ -263,9 +263,9 @@
         """Start an attempt of each pending request that an available worker accepts, best rank first."""
         parts, now = self._parts, self._parts.current.now
         current_pass = RoundRobinPass()
-        refused: set[EquivalenceKey] = set()  # equivalence keys of requests that no worker accepts in this pass
+        refused_keys: set[EquivalenceKey] = set()  # equivalence keys of requests that no worker accepts in this pass
         for request in parts.queue.in_order():
-            if request.equivalence_key in refused and not request.attempts:
+            if request.equivalence_key in refused_keys and not request.attempts:
                 continue
             worker = parts.choice.choose(request, current_pass, now)
             if worker is not None:
@@ -273,7 +273,7 @@
                 parts.attempts.start(request, worker)
                 parts.round_robin.rotate(worker, current_pass, now)
             elif not request.attempts:
-                refused.add(request.equivalence_key)
+                refused_keys.add(request.equivalence_key)
                 parts.cache.add_unplaceable(request.equivalence_key)
         parts.cache.end_pass(is_queue_empty=not parts.queue)
 
--- a/canvasbeam/dispatch/endpoint_set.py
+++ b/canvasbeam/dispatch/endpoint_set.py
@@ -86,9 +86,9 @@
 
     def _mark_unlisted_as_gone(self, entries: Iterable[WorkerEntry]) -> None:
         """Mark the workers that are absent from a complete list as gone."""
-        named = {entry.worker for entry in entries}
+        listed_names = {entry.worker for entry in entries}
         for worker in self._workers.values():
-            if worker.name not in named:
+            if worker.name not in listed_names:
                 worker.state = WorkerState.GONE
 
     def _update_worker(self, entry: WorkerEntry, restarted: list[TrackedWorker]) -> bool:
--- a/canvasbeam/dispatch/json_fields.py
+++ b/canvasbeam/dispatch/json_fields.py
@@ -22,7 +22,7 @@
     """Return a required field."""
     value: object = fields.get(name)
     if value is None:
-        raise _wrong(fields, f"field {name} is missing")
+        raise _invalid(fields, f"field {name} is missing")
     return value
 
 
@@ -32,7 +32,7 @@
     if value is None:
         return int(default or 0)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise _wrong(fields, f"field {name} must be an integer, got {type(value).__name__}")
+        raise _invalid(fields, f"field {name} must be an integer, got {type(value).__name__}")
     return value
 
 
@@ -42,7 +42,7 @@
     if value is None:
         return default
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise _wrong(fields, f"field {name} must be a number, got {type(value).__name__}")
+        raise _invalid(fields, f"field {name} must be a number, got {type(value).__name__}")
     return float(value)
 
 
@@ -50,7 +50,7 @@
     """Return a required string field."""
     value = required(fields, name)
     if not isinstance(value, str):
-        raise _wrong(fields, f"field {name} must be a string, got {type(value).__name__}")
+        raise _invalid(fields, f"field {name} must be a string, got {type(value).__name__}")
     return value
 
 
@@ -60,7 +60,7 @@
     if value is None and default is not None:
         return default
     if isinstance(value, list | dict) or value not in choices:
-        raise _wrong(fields, f"field {name} must be one of {list(choices)}, got {value!r}")
+        raise _invalid(fields, f"field {name} must be one of {list(choices)}, got {value!r}")
     return choices[value]
 
 
@@ -74,6 +74,6 @@
     return value
 
 
-def _wrong(fields: Fields, what: str) -> WireError:
+def _invalid(fields: Fields, problem: str) -> WireError:
     """Return the error for an invalid field of a message, or of the settings."""
-    return WireError(f"{fields.get('t', 'settings')}: {what}")
+    return WireError(f"{fields.get('t', 'settings')}: {problem}")
--- a/canvasbeam/dispatch/round_robin.py
+++ b/canvasbeam/dispatch/round_robin.py
@@ -50,14 +50,14 @@
     ) -> Iterator[TrackedWorker]:
         """Yield a ring's workers that accept this request, in round-robin order; test each worker once per pass."""
         key = (ring, request.equivalence_key)
-        found = current_pass.by_ring_and_kind.get(key)
-        if found is None:
-            found = RingCandidates([], iter(self._workers_to_test(ring, request.equivalence_key)))
-            current_pass.by_ring_and_kind[key] = found
-        yield from found.accepting
-        for worker in found.untested:
+        ring_candidates = current_pass.by_ring_and_kind.get(key)
+        if ring_candidates is None:
+            ring_candidates = RingCandidates([], iter(self._workers_to_test(ring, request.equivalence_key)))
+            current_pass.by_ring_and_kind[key] = ring_candidates
+        yield from ring_candidates.accepting
+        for worker in ring_candidates.untested:
             if not self._skips_turn(worker) and self._acceptance.can_receive(worker, request, now):
-                found.accepting.append(worker)
+                ring_candidates.accepting.append(worker)
                 yield worker
 
     def rotate(self, worker: TrackedWorker, current_pass: RoundRobinPass, now: int) -> None:
@@ -69,13 +69,13 @@
                 if is_available:
                     candidates.untested = chain(candidates.untested, (worker,))
 
-    def _workers_to_test(self, ring: int, kind: EquivalenceKey) -> tuple[TrackedWorker, ...]:
+    def _workers_to_test(self, ring: int, key: EquivalenceKey) -> tuple[TrackedWorker, ...]:
         """Return the workers of a ring that may accept requests with this equivalence key, in round-robin order.
 
         For requests that no worker accepted, only the workers changed since then are returned: testing a ring of
         a thousand workers at each start of an attempt would take more CPU time than available.
         """
-        if not self._cache.is_unplaceable(kind):
+        if not self._cache.is_unplaceable(key):
             return tuple(self._endpoints.ring(ring))
         changed = [
             worker
--- a/canvasbeam/dispatch/settings_json.py
+++ b/canvasbeam/dispatch/settings_json.py
@@ -52,9 +52,9 @@
 WEIGHTS = {weights.value: weights for weights in Weights}
 
 
-def read_class(fields: Fields, place: int, family: Fields, kinds: tuple[str, ...]) -> RequestClass:
+def read_class(fields: Fields, index: int, specifics: Fields, kinds: tuple[str, ...]) -> RequestClass:
     """Return one request class; some of its properties are in separate lists, at the index of the class."""
-    kind = _in_list(family, "classKind", place, -1)
+    kind = _class_property(specifics, "classKind", index, -1)
     return RequestClass(
         name=text(fields, "name"),
         latency_target_ns=whole_number(fields, "aimNs"),
@@ -66,15 +66,15 @@
         window_ns=whole_number(fields, "windowNs", 0),
         streams=bool(fields.get("streaming")),
         kind=kinds[kind] if 0 <= kind < len(kinds) else None,
-        priority=_in_list(family, "classPriority", place, 0),
-        stretch=number(fields, "aimStretch", float(_in_list(family, "classStretch", place, 0.0))),
+        priority=_class_property(specifics, "classPriority", index, 0),
+        stretch=number(fields, "aimStretch", float(_class_property(specifics, "classStretch", index, 0.0))),
     )
 
 
-def _in_list(family: Fields, name: str, place: int, default: _Number) -> _Number:
+def _class_property(specifics: Fields, name: str, index: int, default: _Number) -> _Number:
     """Return the property of a class from the list under `name`, or the default where the list is shorter."""
-    values: list[_Number] = family.get(name) or []
-    return values[place] if place < len(values) else default
+    values: list[_Number] = specifics.get(name) or []
+    return values[index] if index < len(values) else default
 
 
 def read_limits(fields: Fields) -> DispatchLimits:
@@ -126,11 +126,11 @@
     )
 
 
-def report_names(columns: Iterable[str], family: Fields) -> dict[str, str]:
+def report_names(columns: Iterable[str], specifics: Fields) -> dict[str, str]:
     """Return the internal name of each load-report column."""
     names: dict[str, str] = dict(REPORT_FIELDS)
     for column in ("x0", "x1"):
-        meaning = family.get("report" + column.upper())
+        meaning = specifics.get("report" + column.upper())
         names[column] = REPORT_EXTRAS.get(str(meaning), column)
     return {column: names.get(column, column) for column in columns}
 
@@ -145,12 +145,12 @@
 
     Raises `WireError` where a field is missing or of the wrong type, and `ValueError` where a value is out of range.
     """
-    family, report = section(options, "specifics"), section(options, "report")
+    specifics, report = section(options, "specifics"), section(options, "report")
     kinds = tuple(options.get("skus") or ())
-    names = report_names(report.get("columns") or (), family)
+    names = report_names(report.get("columns") or (), specifics)
     classes = cast("list[Fields]", required(options, "services"))
     settings = Settings(
-        classes=tuple(read_class(fields, place, family, kinds) for place, fields in enumerate(classes)),
+        classes=tuple(read_class(fields, index, specifics, kinds) for index, fields in enumerate(classes)),
         zones=tuple(cast("list[str]", required(options, "localities"))),
         own_zone=text(options, "myZone"),
         tenants=read_tenants(options.get("realms") or ()),
@@ -162,9 +162,9 @@
         weights=choice(options, "weights", WEIGHTS, Weights.NONE),
         report_how=choice(report, "how", REPORT_HOW, ReportHow.NONE),
         report_fields=tuple(names.values()),
-        tells_start=bool(family.get("tellsStart")),
-        progress_ns=whole_number(family, "progressNs", 0),
-        queue_order=choice(family, "queueOrder", QUEUE_ORDERS, QueueOrder.FIFO),
+        tells_start=bool(specifics.get("tellsStart")),
+        progress_ns=whole_number(specifics, "progressNs", 0),
+        queue_order=choice(specifics, "queueOrder", QUEUE_ORDERS, QueueOrder.FIFO),
         value_by_work=options.get("worthBy") == "work",
         over_quota_value=number(options, "overShareWorth", 1.0),
         marks_repeats=bool(section(options, "clientHabits").get("marksRetry")),
--- a/canvasbeam/dispatch/tenant_quotas.py
+++ b/canvasbeam/dispatch/tenant_quotas.py
@@ -23,16 +23,16 @@
         self._tenants = tenants
         self._dispatchers = dispatchers
         # By tenant: the requests in the bucket, and the time of the last refill in nanoseconds.
-        self._saved = {tenant.name: [QUOTA_BURST_S * tenant.quota_per_s, 0.0] for tenant in tenants}
+        self._buckets = {tenant.name: [QUOTA_BURST_S * tenant.quota_per_s, 0.0] for tenant in tenants}
 
     def is_beyond_share(self, tenant: str | None, now: int) -> bool:
         """Take one request from a tenant's bucket; return True if the request is beyond the tenant's quota."""
-        for known in self._tenants:
-            if known.name == tenant and known.quota_per_s > 0:
-                rate = known.quota_per_s / self._dispatchers
-                saved, then = self._saved[known.name]
-                saved = min(rate * QUOTA_BURST_S, saved + rate * (now - then) / SECOND)
-                beyond = saved < 1
-                self._saved[known.name] = [saved if beyond else saved - 1, float(now)]
-                return beyond
+        for candidate in self._tenants:
+            if candidate.name == tenant and candidate.quota_per_s > 0:
+                rate = candidate.quota_per_s / self._dispatchers
+                tokens, refilled_at = self._buckets[candidate.name]
+                tokens = min(rate * QUOTA_BURST_S, tokens + rate * (now - refilled_at) / SECOND)
+                is_beyond = tokens < 1
+                self._buckets[candidate.name] = [tokens if is_beyond else tokens - 1, float(now)]
+                return is_beyond
         return False
