--- a/canvasbeam/dispatch/__init__.py
+++ b/canvasbeam/dispatch/__init__.py
@@ -22,8 +22,8 @@
 | `TimerFired` "sweep" | `sweep_timers`, `worker_sweep`, `request_sweep` | all except `WatchWorkers` |
 | after all events | `pending_queue`, `worker_choice`, `attempts`, `sweep_timers` | `StartAttempt`, `SetTimer` |
 
-At the end of a request, an unanswered request causes `RejectRequest` or `FailRequest`, and each open attempt causes
-`CancelAttempt`. Ejecting or restoring a worker causes `WriteLog`.
+When a request ends, `RejectRequest` or `FailRequest` is its answer unless a worker has answered, and `CancelAttempt`
+ends each open attempt. Ejecting or restoring a worker causes `WriteLog`.
 
 State and its owners; the docstring of each part names the fields of `records.py` that the part owns:
 
--- a/canvasbeam/dispatch/part_context.py
+++ b/canvasbeam/dispatch/part_context.py
@@ -1,4 +1,7 @@
-"""Hold the dependencies that all parts of a dispatcher share, in one argument for the constructor of each part."""
+"""Hold the dependencies that all parts of a dispatcher share.
+
+The constructor of a part takes a `PartContext` and the parts that it depends on.
+"""
 
 from __future__ import annotations
 
--- a/canvasbeam/dispatch/retry_policy.py
+++ b/canvasbeam/dispatch/retry_policy.py
@@ -23,8 +23,8 @@
     def may_send(self, request: TrackedRequest, now: int) -> bool:
         """Return True if a request may be sent now, for the first time or again.
 
-        A request that may have run is sent again only if its class permits a repeat, and only within the class's repeat
-        window, so that no effect happens twice.
+        A request that may have run is sent again only if its class is safe to repeat, or is keyed and still within its
+        repeat window, so that no effect happens twice.
         """
         if request.is_done or request.is_streaming or request.counted_attempts() >= self._max_attempts(request):
             return False
@@ -41,7 +41,10 @@
         return now + self._sweep_ns < possibly_executed[0].sent_at + request.request_class.window_ns
 
     def may_send_to(self, worker: TrackedWorker, request: TrackedRequest) -> bool:
-        """Return True if a retry of a request may go to this worker, which must have no open attempt of the request."""
+        """Return True if a retry of a request may go to this worker, which must have no open attempt of the request.
+
+        A keyed request must stay within one group of workers that deduplicates its retries.
+        """
         if any(attempt.worker is worker for attempt in request.open_attempts()):
             return False
         if request.request_class.effect is not Effect.KEYED:
--- a/canvasbeam/dispatch/settings.py
+++ b/canvasbeam/dispatch/settings.py
@@ -184,11 +184,12 @@
     """Settings of a dispatcher at its start; raises `ValueError` where a field is out of range.
 
     With `classes_later` a dispatcher may start without classes, and `ClassesChanged` supplies the classes later. With
-    `priority_first` pending requests of a higher priority rank before all others. With `batches` workers run many
-    requests at once, so a request that has not started does not show that its worker is full, and a worker without any
-    sign of activity is ejected. A request that finds no worker for `early_rejection_share` of its latency target is
-    rejected; 0 = disabled. A worker with an earlier expected first token may be `max_round_robin_lead` turns ahead of
-    the other workers; 0 = disabled. The sweep runs every few `quantum_ns`.
+    `priority_first` pending requests of a higher priority rank before requests of a lower priority. With `batches`
+    workers run many requests at once, so a request that has not started does not show that its worker is full, and a
+    worker without any sign of activity is ejected. A request that finds no worker for
+    `early_rejection_share` of its latency target is rejected; 0 = disabled. A worker with an earlier expected first
+    token may be `max_round_robin_lead` turns ahead of the other workers; 0 = disabled. The sweep runs every few
+    `quantum_ns`.
     """
 
     classes: tuple[RequestClass, ...]
