--- a/canvasbeam/adapter.py
+++ b/canvasbeam/adapter.py
@@ -217,7 +217,7 @@
     RejectRequest: lambda action: {
         "t": "Decline",
         "requestId": action.request_id,
-        "comeBackNs": action.come_back_ns,
+        "comeBackNs": action.retry_after_ns,
     },
     FailRequest: lambda action: {"t": "Surrender", "requestId": action.request_id},
     SetTimer: lambda action: {"t": "Arm", "nonce": action.token, "whenNs": action.when_ns},
--- a/canvasbeam/dispatch/actions.py
+++ b/canvasbeam/dispatch/actions.py
@@ -30,11 +30,11 @@
 class RejectRequest:
     """Reject a request: the final answer, after which a retry by the client is harmless.
 
-    `come_back_ns` is the advised delay before the retry; 0 = no advice.
+    `retry_after_ns` is the advised delay before the retry; 0 = no advice.
     """
 
     request_id: str
-    come_back_ns: int = 0
+    retry_after_ns: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/dispatch/test_attempts.py
+++ b/tests/dispatch/test_attempts.py
@@ -107,7 +107,7 @@
     bench.job(job_class)
     answers = of(bench.pass_time(5 * SECOND), RejectRequest)
     assert [answer.request_id for answer in answers] == ["j0"]
-    assert answers[0].come_back_ns == LIMITS.max_retry_advice_ns
+    assert answers[0].retry_after_ns == LIMITS.max_retry_advice_ns
 
 
 @pytest.mark.parametrize(
