--- a/canvasbeam/data_plane/shutdown.py
+++ b/canvasbeam/data_plane/shutdown.py
@@ -109,4 +109,4 @@
 def _tokens_out(request: ClientRequest) -> int:
     """Return the most tokens that a request may be answered with; 1 where it does not say."""
     prompt = read_prompt(request)
-    return prompt.most_tokens_out if prompt is not None else 1
+    return prompt.max_tokens_out if prompt is not None else 1
--- a/canvasbeam/dispatch/events.py
+++ b/canvasbeam/dispatch/events.py
@@ -113,7 +113,7 @@
     """Work of a request for a language model: prompt tokens, and the upper bound of generated tokens."""
 
     tokens_in: int
-    most_tokens_out: int
+    max_tokens_out: int
     parts: tuple[PromptPart, ...] = ()
     model: str = ""
 
--- a/canvasbeam/dispatch/language_model/expectations.py
+++ b/canvasbeam/dispatch/language_model/expectations.py
@@ -243,4 +243,4 @@
 
 def _kv_cache_tokens(prompt: PromptEstimate) -> int:
     """Return the tokens that a request may occupy of the KV cache, with its complete answer."""
-    return prompt.tokens_in + prompt.most_tokens_out
+    return prompt.tokens_in + prompt.max_tokens_out
--- a/tests/data_plane/test_data_plane_items.py
+++ b/tests/data_plane/test_data_plane_items.py
@@ -150,7 +150,7 @@
     parts = (b"x-prefix-hash", b"5c:800, 91:410,e4:250")
     told = read_prompt(request((b"x-tokens", b"1460,80"), parts))
     assert told is not None
-    assert (told.tokens_in, told.most_tokens_out) == (1460, 80)
+    assert (told.tokens_in, told.max_tokens_out) == (1460, 80)
     assert [(part.name, part.tokens) for part in told.parts] == [("5c", 800), ("91", 410), ("e4", 250)]
     assert told.model == ""
     named = read_prompt(request((b"x-tokens", b"1460,80"), (b"x-model", b"m")))
