--- a/canvasbeam/dispatch/endpoint_set.py
+++ b/canvasbeam/dispatch/endpoint_set.py
@@ -120,7 +120,7 @@
         worker = TrackedWorker(entry.worker, entry.zone, entry.kind, entry.cell, entry.state, entry.started_ns, entry)
         digest = blake2b(f" {worker.name}".encode(), digest_size=8).digest()
         worker.slow_start_offset = int.from_bytes(digest, "big")
-        worker.listed_as = len(self._workers)
+        worker.listing_order = len(self._workers)
         self._workers[entry.worker] = worker
 
     def _rebuild_rings(self) -> None:
--- a/canvasbeam/dispatch/records.py
+++ b/canvasbeam/dispatch/records.py
@@ -113,7 +113,7 @@
     state: WorkerState
     started_at: int
     entry: WorkerEntry
-    listed_as: int = 0  # position in the order in which workers were first listed
+    listing_order: int = 0  # position in the order in which workers were first listed
     check_at: float = inf  # time when a sweep checks the worker next; infinite = no check
     # Load and concurrency limit of the worker.
     attempts: list[TrackedAttempt] = field(default_factory=list)
--- a/canvasbeam/dispatch/sweep_timers.py
+++ b/canvasbeam/dispatch/sweep_timers.py
@@ -88,7 +88,7 @@
 
     def due_workers(self) -> list[TrackedWorker]:
         """Take the workers to be looked at now, in the order in which they were first named."""
-        return sorted(self._due(self._workers), key=lambda worker: worker.listed_as)
+        return sorted(self._due(self._workers), key=lambda worker: worker.listing_order)
 
     def due_requests(self) -> list[TrackedRequest]:
         """Take the requests to be looked at now, in the order of their arrival."""
