--- a/canvasbeam/dispatch/dispatcher.py
+++ b/canvasbeam/dispatch/dispatcher.py
@@ -165,7 +165,7 @@
             answer_by=event.deadline_ns - self._parts.answer_margin_ns,
             slots=event.slots,
             service_hint_ns=event.service_hint_ns,
-            is_over_quota=self._parts.quotas.is_beyond_share(event.tenant, now),
+            is_over_quota=self._parts.quotas.exceeds_quota(event.tenant, now),
             event=event,
             equivalence_key=(
                 request_class.name,
--- a/canvasbeam/dispatch/tenant_quotas.py
+++ b/canvasbeam/dispatch/tenant_quotas.py
@@ -25,7 +25,7 @@
         # By tenant: the requests in the bucket, and the time of the last refill in nanoseconds.
         self._buckets = {tenant.name: [QUOTA_BURST_S * tenant.quota_per_s, 0.0] for tenant in tenants}
 
-    def is_beyond_share(self, tenant: str | None, now: int) -> bool:
+    def exceeds_quota(self, tenant: str | None, now: int) -> bool:
         """Take one request from a tenant's bucket; return True if the request is beyond the tenant's quota."""
         for candidate in self._tenants:
             if candidate.name == tenant and candidate.quota_per_s > 0:
