--- a/canvasbeam/dispatch/records.py
+++ b/canvasbeam/dispatch/records.py
@@ -141,7 +141,7 @@
     on_trial: bool = False
     is_checking_health: bool = False
     # Slow start of the worker.
-    recent: deque[tuple[int, float]] = field(default_factory=deque)  # (send time, work) of requests in warm-up
+    warm_up_sends: deque[tuple[int, float]] = field(default_factory=deque)  # (send time, work) of requests in warm-up
     slow_start_offset: int = 0  # start of the cycle of slow-start turns, the same at every dispatcher
     rejected_work: float = inf  # least work that slow start rejects until `capacity_at`, nanoseconds times slots
     capacity_at: int = 0
--- a/canvasbeam/dispatch/slow_start.py
+++ b/canvasbeam/dispatch/slow_start.py
@@ -60,7 +60,7 @@
     def count_work(self, worker: TrackedWorker, request: TrackedRequest, now: int) -> None:
         """Count the work of a request that is sent to a worker, where that warms up."""
         if self.share(worker, now) < 1:
-            worker.recent.append((now, self._work(worker, request)))
+            worker.warm_up_sends.append((now, self._work(worker, request)))
 
     def allows(self, worker: TrackedWorker, request: TrackedRequest, now: int) -> bool:
         """Return whether our part of a worker's budget has capacity for this request.
@@ -69,7 +69,7 @@
         """
         share = self.share(worker, now)
         if share >= 1:
-            worker.recent.clear()
+            worker.warm_up_sends.clear()
             return True
         work = self._work(worker, request)
         if now < worker.capacity_at and work >= worker.rejected_work:
@@ -79,7 +79,7 @@
         part = SAFETY_FACTOR * self._complete_budget(worker, now) / parts
         if share * part < work <= share * part * parts:
             return self._has_turn(worker, work, share * part, now)
-        wanted = sum(sent_work for _, sent_work in worker.recent) + work
+        wanted = sum(sent_work for _, sent_work in worker.warm_up_sends) + work
         if wanted > share * part:
             worker.rejected_work = work
             worker.capacity_at = self._capacity_at(worker, wanted / part, now)
@@ -92,8 +92,8 @@
     def _forget_before_window(self, worker: TrackedWorker, now: int) -> None:
         """Forget the work that was sent before the window that ends now."""
         begin = now - self._settings.rules.overload_window_ns
-        while worker.recent and worker.recent[0][0] <= begin:
-            worker.recent.popleft()
+        while worker.warm_up_sends and worker.warm_up_sends[0][0] <= begin:
+            worker.warm_up_sends.popleft()
 
     def _complete_budget(self, worker: TrackedWorker, now: int) -> float:
         """Return the work that all dispatchers may send to a worker within a window once it has warmed up."""
@@ -124,7 +124,7 @@
         span_number = (now - worker.started_at) // span_ns
         spans_until_turn = (self._settings.own_number + worker.slow_start_offset - span_number) % groups
         span_begin = worker.started_at + span_number * span_ns
-        has_sent_in_span = bool(worker.recent) and worker.recent[-1][0] >= span_begin
+        has_sent_in_span = bool(worker.warm_up_sends) and worker.warm_up_sends[-1][0] >= span_begin
         if spans_until_turn == 0 and not has_sent_in_span:
             return True
         worker.rejected_work = work
@@ -138,7 +138,7 @@
         """
         rules = self._settings.rules
         age = (share - rules.initial_share) / (1 - rules.initial_share) if share < 1 else 1.0
-        oldest = worker.recent[0][0] if worker.recent else now
+        oldest = worker.warm_up_sends[0][0] if worker.warm_up_sends else now
         return min(worker.started_at + round(rules.warm_up_ns * age), oldest + rules.overload_window_ns)
 
     def _comparable_slots(self, worker: TrackedWorker, now: int) -> float:
