--- a/bench/ablate.py
+++ b/bench/ablate.py
@@ -147,7 +147,7 @@
     AS_IT_IS: Without("nothing is taken out", {}, {}),
     "age-of-a-repeat": Without("a repeat's aim runs from its first try", {"first_arrived_at": _no_ages}, {}),
     "urgency": Without("held jobs by the time they can wait and their worth", {"_starts_by": _first_come}, {}),
-    "shares": Without("jobs beyond a tenant's share stand last", {"is_beyond_share": same(False)}, {}),
+    "shares": Without("jobs beyond a tenant's share stand last", {"exceeds_quota": same(False)}, {}),
     "late-last": Without("a held job past its aim stands behind", {"_sweep_pending": same(None)}, {}),
     "caps": Without("a worker's learned cap", {"cut_to": _limits_never_cut}, {}),
     "regrow-doubles": Without("the wait before a cap is tried higher doubles", {}, {"MAX_REGROW_SERVICE_TIMES": 1}),
