--- a/canvasbeam/adapter.py
+++ b/canvasbeam/adapter.py
@@ -1,7 +1,8 @@
-"""Host dispatchers on the simulator's wire: JSON lines in, JSON lines out.
+"""Run dispatchers for the simulator, with one JSON message per line on standard input and standard output.
 
-The names of the wire ("runner", "hop") are translated here alone. The module decides nothing. Batches are answered one
-after the other; whatever breaks the wire ends the program with status 1 and one line on standard error.
+The protocol's names ("runner", "hop") are translated in this module only. The module makes no dispatch decisions.
+Batches are answered one after the other; input that violates the protocol ends the program with exit status 1 and one
+line on standard error.
 """
 
 from __future__ import annotations
@@ -74,7 +75,7 @@
     "warm_copy": ListKind.WARM_COPY,
     "lost": ListKind.LOST,
 }
-# By their codes.
+# The position of an outcome is its `code` in the simulator's protocol.
 OUTCOMES = dict(
     enumerate(
         (
@@ -89,7 +90,7 @@
         )
     )
 )
-# The kinds of notes on attempts.
+# Values of the field `kind` of an UpdateOf message.
 STARTED_NOTE = 1
 PROGRESS_NOTE = 2
 
@@ -98,7 +99,7 @@
 
 
 def read_entry(fields: Fields) -> WorkerEntry:
-    """Return one worker of a list."""
+    """Decode one worker of an endpoint list."""
     return WorkerEntry(
         worker=text(fields, "runner"),
         zone=text(fields, "locality"),
@@ -111,7 +112,7 @@
 
 
 def read_arrival(fields: Fields) -> RequestArrived:
-    """Return a request that arrived."""
+    """Decode the arrival of a request."""
     return RequestArrived(
         request_id=text(fields, "requestId"),
         request_class=text(fields, "grade"),
@@ -128,7 +129,7 @@
 
 
 def read_note(fields: Fields) -> Event | None:
-    """Return a note on an attempt; kinds not known are skipped."""
+    """Decode a status update of an attempt; return None if the kind of update is unknown."""
     request_id = text(fields, "requestId")
     attempt = whole_number(fields, "hop", 0)
     worker = text(fields, "runner")
@@ -141,7 +142,7 @@
 
 
 def read_stream_opened(fields: Fields) -> StreamOpened:
-    """Return that the answer of an attempt has begun."""
+    """Decode the event that the response stream of an attempt has opened."""
     return StreamOpened(
         text(fields, "requestId"),
         whole_number(fields, "hop", 0),
@@ -151,19 +152,19 @@
 
 
 def read_peer_message(fields: Fields) -> PeerMessageReceived:
-    """Return a message of another dispatcher."""
+    """Decode a message from another dispatcher; raise `WireError` if its content is not base64."""
     try:
         content = base64.b64decode(text(fields, "content"), validate=True)
     except (binascii.Error, ValueError) as error:
-        raise WireError("Memo: field content is not base64") from error
+        raise WireError("Memo: field content is not valid base64") from error
     return PeerMessageReceived(whole_number(fields, "sender", 0), content)
 
 
 class Instance:
-    """One hosted dispatcher and what has come in for it in this batch."""
+    """One hosted dispatcher and the events of the current batch for this dispatcher."""
 
     def __init__(self, fields: Fields) -> None:
-        """Make a dispatcher by the settings of a message; raises `WireError`."""
+        """Create a dispatcher from the settings in a Launch message; raise `WireError` if these are invalid."""
         options = required(fields, "options")
         if not isinstance(options, dict):
             raise WireError("Launch: field options is not an object")
@@ -176,12 +177,12 @@
         self.pending: list[Event] = []
 
     def read_report(self, fields: Fields) -> dict[str, float] | None:
-        """Return the load report that came along, in this project's names."""
+        """Decode the worker's load report in a message, with its fields renamed; return None if there is no report."""
         stats = section(fields, "stats")
         return {self._report_names.get(name, name): number(stats, name, 0.0) for name in stats} or None
 
     def read_attempt_ended(self, fields: Fields) -> AttemptEnded:
-        """Return how an attempt ended."""
+        """Decode the end of an attempt."""
         return AttemptEnded(
             request_id=text(fields, "requestId"),
             attempt=whole_number(fields, "hop", 0),
@@ -194,7 +195,7 @@
         )
 
     def read_health_check_ended(self, fields: Fields) -> HealthCheckEnded:
-        """Return how a health check ended."""
+        """Decode the result of a health check."""
         return HealthCheckEnded(
             text(fields, "runner"),
             choice(fields, "code", OUTCOMES),
@@ -205,7 +206,7 @@
 
 # --- actions
 
-# How each action stands on the wire, without its instance.
+# For each type of action, the function that encodes the action as a protocol message without the instance number.
 ENCODERS: dict[type, Callable[[Any], Fields]] = {
     StartAttempt: lambda action: {
         "t": "Issue",
@@ -235,7 +236,7 @@
 
 
 def encode(action: Action) -> Fields:
-    """Return an action in the wire's words, without its instance."""
+    """Encode an action as a protocol message without the instance number."""
     return ENCODERS[type(action)](action)
 
 
@@ -243,16 +244,17 @@
 
 
 class Host:
-    """Keeps many isolated instances and answers one batch after another."""
+    """Hosts isolated dispatcher instances and answers one batch of messages after another."""
 
     def __init__(self, lines: Iterable[str], out: TextIO, err: TextIO) -> None:
-        """Read messages from `lines`, answer on `out`, and tell of what is skipped on `err`."""
+        """Read messages from `lines`, write replies to `out`, and report skipped messages on `err`."""
         self._lines = iter(lines)
         self._out = out
         self._err = err
         self._lists: dict[int, tuple[WorkerEntry, ...]] = {}
         self._instances: dict[int, Instance] = {}
-        self._addressed: dict[int, None] = {}  # instances with events in this batch, in their order
+        # Numbers of the instances with messages in this batch, in order of their first message.
+        self._addressed: dict[int, None] = {}
         self._readers: dict[str, Callable[[Instance, Fields], Event | None]] = {
             "BackendsChanged": lambda _, fields: self._read_workers(fields),
             "WorkItem": lambda _, fields: read_arrival(fields),
@@ -266,37 +268,37 @@
         }
 
     def run(self) -> None:
-        """Answer batches until the input ends; raises `WireError` where the input breaks the wire."""
+        """Answer batches until the input ends; raise `WireError` if the input violates the protocol."""
         while (opening := self._next_message()) is not None:
             if opening.get("t") != BEGIN_BATCH:
-                raise WireError(f"expected BeginBatch, got {opening.get('t')!r}")
+                raise WireError(f"expected a BeginBatch message, got {opening.get('t')!r}")
             now, batch = whole_number(opening, "clockNs"), whole_number(opening, "turn")
             self._addressed.clear()
             while (message := self._next_message()) is not None and message.get("t") != END_BATCH:
                 self._take(message)
             if message is None:
-                raise WireError("input ended inside a batch")
+                raise WireError("input ended inside a batch, before its Commit message")
             self._reply(now, batch)
 
     def _next_message(self) -> Fields | None:
-        """Return the next message; none at the end of the input."""
+        """Return the next message, or None at the end of the input."""
         for line in self._lines:
             if not line.strip():
                 continue
             try:
                 message = json.loads(line)
             except ValueError as error:
-                raise WireError("a line is not valid JSON") from error
+                raise WireError("input line is not valid JSON") from error
             if not isinstance(message, dict) or not isinstance(message.get("t"), str):
-                raise WireError("a line is not an object with the key t")
+                raise WireError("input line is not a JSON object with a string in field t")
             return message
         return None
 
     def _take(self, message: Fields) -> None:
-        """Take one message of a batch: a list of workers, an instance's begin or end, or an event for it."""
+        """Process one message of a batch: a worker list, the launch or detach of an instance, or an event."""
         tag = message["t"]
         if tag == BEGIN_BATCH:
-            raise WireError("BeginBatch inside a batch")
+            raise WireError("BeginBatch inside a batch: the previous batch has no Commit message")
         if tag == WORKER_LIST:
             self._take_list(message)
         elif tag == LAUNCH:
@@ -309,24 +311,24 @@
             print(f"skipped an unknown event {tag!r}", file=self._err)
 
     def _take_list(self, message: Fields) -> None:
-        """Keep a list of workers, to which events refer by its number."""
+        """Store a worker list under its number, by which BackendsChanged messages refer to the list."""
         entries = cast("list[Fields]", required(message, "elements"))
         self._lists[whole_number(message, "buffer")] = tuple(read_entry(entry) for entry in entries)
 
     def _launch(self, message: Fields) -> None:
-        """Begin an instance."""
+        """Create an instance."""
         instance_number = whole_number(message, "i")
         self._instances[instance_number] = Instance(message)
         self._addressed[instance_number] = None
 
     def _detach(self, message: Fields) -> None:
-        """End an instance."""
+        """Remove an instance."""
         instance_number, _ = self._find_instance(message)
         del self._instances[instance_number]
         self._addressed.pop(instance_number, None)
 
     def _take_event(self, message: Fields) -> None:
-        """Keep an event for its instance."""
+        """Decode an event and queue it for its instance."""
         instance_number, instance = self._find_instance(message)
         event = self._readers[message["t"]](instance, message)
         self._addressed[instance_number] = None
@@ -334,32 +336,32 @@
             instance.pending.append(event)
 
     def _find_instance(self, message: Fields) -> tuple[int, Instance]:
-        """Return the instance that a message is for, with its number."""
+        """Return the number and the instance that a message is addressed to; raise `WireError` if unknown."""
         instance_number = whole_number(message, "i")
         instance = self._instances.get(instance_number)
         if instance is None:
-            raise WireError(f"{message['t']}: instance {instance_number} is unknown")
+            raise WireError(f"{message['t']}: field i: instance {instance_number} was not launched or is detached")
         return instance_number, instance
 
     def _read_workers(self, fields: Fields) -> WorkersListed:
-        """Return what discovery lists."""
+        """Decode an update of the endpoint list; raise `WireError` if the referenced worker list is unknown."""
         kind = choice(fields, "scope", LIST_KINDS)
         if kind is ListKind.LOST:
             return WorkersListed(kind)
         list_number = whole_number(fields, "buffer")
         if list_number not in self._lists:
-            raise WireError(f"BackendsChanged: list {list_number} was never given")
+            raise WireError(f"BackendsChanged: field buffer: no Ledger message contained list {list_number}")
         return WorkersListed(kind, self._lists[list_number], whole_number(fields, "rev", 0))
 
     def _reply(self, now: int, batch: int) -> None:
-        """Have the instances decide, and write their actions and the end of the batch."""
+        """Run the dispatchers of this batch, and write their actions and the end-of-reply message."""
         lines: list[str] = []
         for instance_number in self._addressed:
             instance = self._instances[instance_number]
             events, instance.pending = instance.pending, []
             try:
                 actions = [encode(action) for action in instance.dispatcher.handle(now, events)]
-            except Exception as error:  # the wire wants any failure of the decisions as Broken
+            except Exception as error:  # the protocol reports any exception of a dispatcher as Broken
                 actions = [{"t": "Broken", "text": f"{type(error).__name__}: {error}"}]
             for fields in actions:
                 tag = fields.pop("t")
@@ -370,12 +372,12 @@
 
 
 def _to_line(fields: Fields) -> str:
-    """Return a message as a line of JSON."""
+    """Encode a message as one line of JSON."""
     return json.dumps(fields, separators=(",", ":"))
 
 
 def main() -> int:
-    """Host instances on standard input and output; return 1 where the input broke the wire."""
+    """Serve standard input and output; return 1 if the input violates the protocol or the pipe breaks, else 0."""
     sys.stdin.reconfigure(encoding="utf-8", errors="replace")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     try:
--- a/canvasbeam/dispatch/fleet_limits.py
+++ b/canvasbeam/dispatch/fleet_limits.py
@@ -1,26 +1,26 @@
-"""Limits on the sum over all schedulers: retries to a service, and requests to a worker that warms up.
+"""Limit the sum over all schedulers of retries to a service, and of requests to a worker that is warming up.
 
-Pure: events and the time in whole nanoseconds in, answers out; no I/O, no clock. `FleetLimits` is the `FleetLimiter` of
-one scheduler. It keeps to a share of each limit that needs no message, so that no loss, network partition or delay can
-break the sum.
+Pure: takes events and the time in whole nanoseconds, returns decisions; no I/O, no clock. `FleetLimits` is the
+`FleetLimiter` of one scheduler. Each scheduler computes its quota share of a limit without exchanging messages, so that
+no message loss, network partition or delay can make the sum exceed the limit.
 
 | limit, over all schedulers | the quota share of one scheduler |
 | --- | --- |
 | retries in a window: `ratio` x requests + `slack` | `ratio` x own requests + `slack` / schedulers, less a margin |
-| requests to a worker that warms up, in a second: `rate` x `over` + `slack` | a token bucket; all fit in the limit |
+| requests per second to a worker that is warming up: `rate` x `over` + `slack` | a token bucket; the sum fits |
 
-The schedulers are counted for a while after they were last seen alive: one that is cut off may still be sending. A
-scheduler that has just started, or knows of no scheduler, has no share of the slack and sends nothing to workers that
-warm up.
+A scheduler is counted for a while after it was last seen alive, because a partitioned scheduler may still be sending. A
+scheduler that has just started, or that is missing from its own list of live schedulers, has no share of the slack and
+sends nothing to workers that are warming up.
 
-The token buckets of a worker that warms up: each holds one request, so `holders` of them and the rate that they share
-must fit in the limit. Where there are more schedulers than holders, rendezvous hashing of scheduler and worker
-(Thaler, Ravishankar, 1998) decides who holds one; most of them are of the worker's own region, whose requests go there
-first.
+Each token bucket for a worker that is warming up contains at most one request, so the number of buckets (`holders`)
+plus the refill rate that they share must fit in the limit. If there are more schedulers than holders, rendezvous
+hashing of scheduler and worker (Thaler, Ravishankar, 1998) selects the schedulers that get a bucket. Most of these are
+in the worker's own region, because requests of that region go to the worker first.
 
-| state of a worker | is left |
+| state of a worker | the state ends |
 | --- | --- |
-| warm | when discovery says that it warms up, or it is usable again after it was not |
+| warm | when discovery reports the worker as warming up, or the worker is usable again after it was not |
 | warming up | at `warming_until` |
 """
 
@@ -34,21 +34,22 @@
 from canvasbeam.dispatch.events import WorkerEntry, WorkerState
 from canvasbeam.units import SECOND
 
-# The fraction of a limit that is used: requests that are on their way may arrive closer together than they were sent.
+# The fraction of a limit that is used, because requests in flight may arrive closer together than they were sent.
 SAFETY_FACTOR = 0.85
-# A scheduler counts for so long after it was last seen alive.
+# A scheduler is counted for this long after it was last seen alive.
 SCHEDULER_RETENTION_NS = 15 * SECOND
-# A worker that returns may have restarted since discovery last told of it: it is taken to warm up for this long.
+# A worker that is usable again is assumed to be warming up for this long, because it may have restarted since the last
+# update from discovery.
 RETURN_WARM_UP_NS = 2 * SECOND + SECOND // 2
-# Of the buckets and the rate of a worker that warms up, the fraction for schedulers of its own region.
+# The fraction of a warming-up worker's token buckets and refill rate that schedulers of the worker's own region get.
 OWN_REGION_FRACTION = 0.75
-# A sliding window is counted in this many slices.
+# The number of slices in which a sliding window is counted.
 WINDOW_SLICES = 50
 
 
 @dataclass(frozen=True, slots=True)
 class RetryLimit:
-    """Retries that a service may receive in any window: `ratio` (0 to 1) of its requests, and `slack` more."""
+    """Limit on retries to a service in any window: `ratio` (0 to 1) times its requests, plus `slack` retries."""
 
     ratio: float
     slack: float
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmUpLimit:
-    """What a worker that warms up may receive in any second: `over` times its rate, and `slack` requests more."""
+    """Limit on requests to a worker in any second of its warm-up: `over` times its rate, plus `slack` requests."""
 
     over: float
     slack: float
@@ -65,13 +66,13 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmUpRate:
-    """The rate that a worker of a service bears while it warms up, in requests a second; 0 is no limit."""
+    """The rate, in requests per second, that a service's worker can serve while warming up; 0 = no limit."""
 
     per_s: float
 
 
 class WindowCount:
-    """Counts events in a sliding window, in slices; a slice is dropped once all of it lies before the window."""
+    """Counts events in a sliding window, in slices; a slice is dropped once it lies completely before the window."""
 
     def __init__(self, window_ns: int) -> None:
         self._slice_ns = max(1, window_ns // WINDOW_SLICES)
@@ -89,7 +90,7 @@
         self._total += 1
 
     def total(self, now: int, skipped_slices: int = 0) -> int:
-        """Return the events in the window that ends now, without its oldest slices where these may lie outside."""
+        """Return the number of events in the window that ends now, less those in its oldest `skipped_slices` slices."""
         oldest = (now - self._window_ns) // self._slice_ns
         while self._slices and self._slices[0][0] < oldest:
             self._total -= self._slices.popleft()[1]
@@ -100,7 +101,7 @@
 
 @dataclass(slots=True)
 class WarmingWorker:
-    """The token bucket for a worker that may warm up. `tokens` are in requests, as of `filled_at`."""
+    """The token bucket for a worker that may be warming up; `tokens` are in requests, as of `filled_at`."""
 
     name: str
     region: str
@@ -110,12 +111,12 @@
     tokens: float = 0.0
     filled_at: int = 0
     recent_sends: deque[int] = field(default_factory=lambda: deque(maxlen=4))
-    own_rate_per_s: float | None = None  # of this scheduler; None: to be computed anew
+    own_rate_per_s: float | None = None  # this scheduler's refill rate; None = must be recomputed
     own_rate_at: int = 0
 
 
 class FleetLimits:
-    """One scheduler's quota share of all limits; a `FleetLimiter`. Instants are nanoseconds of one monotonic clock."""
+    """One scheduler's quota share of all limits; a `FleetLimiter`. Times are nanoseconds of one monotonic clock."""
 
     def __init__(
         self,
@@ -130,9 +131,9 @@
         self._warm_up = warm_up
         self._shares_valid_at = clock_start + settling_ns
         self._rates: dict[str, WarmUpRate] = {}
-        self._regions: dict[str, str] = {}  # of the schedulers that count
+        self._regions: dict[str, str] = {}  # region of each counted scheduler, by name
         self._live_names: frozenset[str] = frozenset()
-        self._last_seen_at: dict[str, int] = {}  # when a scheduler that is no longer alive was last seen alive
+        self._last_seen_at: dict[str, int] = {}  # time in nanoseconds, for each scheduler no longer alive
         self._requests: dict[str, WindowCount] = {}
         self._retries: dict[str, WindowCount] = {}
         self._workers: dict[str, WarmingWorker] = {}
@@ -140,7 +141,7 @@
     # --- updates ----------------------------------------------------------------------------------
 
     def members(self, now: int, regions: Mapping[str, str]) -> None:
-        """Take the schedulers that carry traffic and are alive, with their regions."""
+        """Replace the schedulers that carry traffic and are alive; `regions` is keyed by scheduler name."""
         for gone in self._live_names - regions.keys():
             self._last_seen_at[gone] = now
         self._live_names = frozenset(regions)
@@ -149,12 +150,12 @@
         self._invalidate_rates(now)
 
     def services(self, now: int, rates: Mapping[str, WarmUpRate]) -> None:
-        """Take the warm-up rates of the services in the configuration in force."""
+        """Replace the warm-up rates, keyed by service, with those of the active configuration."""
         self._rates = dict(rates)
         self._invalidate_rates(now)
 
     def listed(self, now: int, entry: WorkerEntry) -> None:
-        """Take what discovery tells of a worker."""
+        """Update a worker from its discovery entry, and start a warm-up if the entry calls for one."""
         if entry.state is WorkerState.GONE:
             self._workers.pop(entry.worker, None)
             return
@@ -172,11 +173,11 @@
             self._start_warm_up(worker, now, entry.cold_until_ns)
 
     def arrived(self, now: int, kind: str) -> None:
-        """Count a request of a client."""
+        """Count a client request for a service."""
         self._requests.setdefault(kind, WindowCount(self._retry.window_ns)).add(now)
 
     def sent(self, now: int, kind: str, worker: str, is_retry: bool) -> None:
-        """Count a request sent to a worker."""
+        """Count a request sent to a worker, and take its token if the worker is warming up."""
         if is_retry:
             self._retries.setdefault(kind, WindowCount(self._retry.window_ns)).add(now)
         state = self._workers.get(worker)
@@ -189,10 +190,10 @@
     # --- decisions --------------------------------------------------------------------------------
 
     def may_retry(self, now: int, kind: str) -> bool:
-        """Return whether one more retry for a service fits in this scheduler's share."""
+        """Return True if one more retry for a service fits in this scheduler's quota share."""
         requests = self._requests.get(kind)
         retries = self._retries.get(kind)
-        # Slices that may lie outside of the window count for retries, and not for requests.
+        # Slices that may lie partly outside the window are counted for retries but not for requests.
         earned = self._retry.ratio * (requests.total(now, skipped_slices=2) if requests else 0)
         spent = retries.total(now) if retries else 0
         schedulers = self._scheduler_count(now)
@@ -200,24 +201,24 @@
         return spent + 1 <= SAFETY_FACTOR * (earned + slack)
 
     def may_send_while_warming_up(self, now: int, worker: str) -> bool:
-        """Return whether a worker is warm, or this scheduler's token bucket for it holds a request."""
+        """Return True if a worker is warm, or this scheduler's token bucket for the worker contains a token."""
         state = self._workers.get(worker)
         if state is None or now >= state.warming_until or self._fleet_limit_per_s(state) <= 0:
             return True
         self._refill(state, now)
         return state.tokens >= 1
 
-    # --- workers that warm up -----------------------------------------------------------------------
+    # --- workers that are warming up --------------------------------------------------------------------
 
     def _start_warm_up(self, worker: WarmingWorker, now: int, until: int) -> None:
-        """Make a worker warm up until this instant, or for longer than it does; the one place that does so."""
+        """Start a worker's warm-up or extend the current one to `until`; no other method starts a warm-up."""
         if now < worker.warming_until:
             worker.warming_until = max(worker.warming_until, until)
             return
         worker.warming_until = until
         worker.own_rate_per_s = None
         worker.filled_at = now
-        # What was sent within the last second may still arrive together with what is sent next.
+        # Requests sent within the last second may still arrive together with the next request.
         recent_count = sum(sent > now - SECOND for sent in worker.recent_sends)
         worker.tokens = 1.0 - recent_count
 
@@ -231,17 +232,17 @@
             worker.tokens = min(0.0, worker.tokens)
 
     def _fleet_limit_per_s(self, worker: WarmingWorker) -> float:
-        """Return the requests that all schedulers together may send in any second; 0 where there is no limit."""
+        """Return how many requests per second all schedulers together may send to a worker; 0 = no limit."""
         rate = self._rates.get(worker.kind)
         if rate is None or rate.per_s <= 0:
             return 0.0
         return rate.per_s * self._warm_up.over + self._warm_up.slack
 
     def _own_rate_per_s(self, worker: WarmingWorker, now: int) -> float:
-        """Return the requests a second that this scheduler may send to a worker that warms up.
+        """Return how many requests per second this scheduler may send to a worker that is warming up.
 
-        In any second a bucket gives one request and what its rate adds, so `holders` + rate must fit in the bound. The
-        rate is what the worker bears, and less where the bound leaves less than half of its room for holders.
+        In any second a bucket permits one request plus those that its refill rate adds, so `holders` + rate must fit in
+        the bound. The rate is the worker's warm-up rate, but at most half of the bound, to leave the rest to holders.
         """
         bound = SAFETY_FACTOR * self._fleet_limit_per_s(worker)
         rate = min(self._rates[worker.kind].per_s, bound / 2)
@@ -260,14 +261,14 @@
         return self._rate_in_group(worker, others, holders - own_holders, rate * (1 - OWN_REGION_FRACTION))
 
     def _schedulers_by_region(self, worker: WarmingWorker, now: int) -> tuple[list[str], list[str]]:
-        """Return the schedulers that count: those of the worker's region, and the others."""
+        """Return the counted schedulers of the worker's region, and those of all other regions."""
         self._expire_schedulers(now)
         own = [scheduler for scheduler, region in self._regions.items() if region == worker.region]
         others = [scheduler for scheduler, region in self._regions.items() if region != worker.region]
         return own, others
 
     def _rate_in_group(self, worker: WarmingWorker, group: list[str], holders: int, rate: float) -> float:
-        """Return this scheduler's rate where the first `holders` of a group, in the worker's order, share a rate."""
+        """Return this scheduler's part of `rate`, which the first `holders` of a group in hash order share evenly."""
         if holders <= 0 or self._own_name not in group:
             return 0.0
         order = sorted(group, key=lambda scheduler: _pair_hash(scheduler, worker.name))[:holders]
@@ -281,7 +282,7 @@
         return len(self._regions) if is_valid else 0
 
     def _expire_schedulers(self, now: int) -> None:
-        """Drop those that were last seen alive long ago."""
+        """Drop the schedulers that were last seen alive more than `SCHEDULER_RETENTION_NS` ago."""
         for name, seen in tuple(self._last_seen_at.items()):
             if name in self._live_names:
                 del self._last_seen_at[name]
@@ -290,7 +291,7 @@
                 self._regions.pop(name, None)
 
     def _invalidate_rates(self, now: int) -> None:
-        """Refill the buckets at the old rates, and have the rates computed anew."""
+        """Refill the buckets at their current rates, then mark the rates for recomputation."""
         for worker in self._workers.values():
             if now < worker.warming_until:
                 self._refill(worker, now)
@@ -298,9 +299,10 @@
 
 
 def _pair_hash(scheduler: str, worker: str) -> bytes:
-    """Return the weight of a scheduler for a worker; the lowest is first (rendezvous hashing).
+    """Return the rendezvous-hashing weight of a scheduler for a worker; the scheduler with the lowest comes first.
 
-    Not `failure_detection.rendezvous`: that one hashes other bytes and gives other values. All schedulers,
-    also those of an earlier release during an upgrade, must agree on these, or their buckets would break the limit.
+    `failure_detection.rendezvous` cannot be used here, because it hashes other bytes and gives other values. All
+    schedulers, including those of an earlier release during an upgrade, must compute the same weights, or their
+    token buckets together would exceed the limit.
     """
     return blake2b(f"{scheduler}\0{worker}".encode(), digest_size=8).digest()
--- a/canvasbeam/dispatch/language_model/expectations.py
+++ b/canvasbeam/dispatch/language_model/expectations.py
@@ -1,20 +1,20 @@
-"""Expect when language-model workers answer, for one scheduler: its dispatcher's `EngineModel`.
+"""Predict the time to first token at language-model workers, for one scheduler: its dispatcher's `EngineModel`.
 
-A worker prefills prompts one after the other, so the time to first token is the prefill of all prompts before it and
-its own; cached prefixes need no prefill. A worker has room for a request while the first token is expected within the
-request's latency target and the KV cache can hold it.
+A worker prefills prompts one after the other, so a request's time to first token is the prefill time of its own prompt
+and of all prompts before it; cached prefixes need no prefill. A worker has capacity for a request while the first token
+is expected within the request's latency target and the KV cache has space for the request.
 
-| what | how it is known |
+| quantity | source |
 | --- | --- |
 | own prompts in the prefill queue | counted from the send until the first token |
-| other schedulers' prompts there | by their notices, until their prefill should be over or a later one's was |
-| all else before a prompt | the last first token's delay beyond what was expected; decays |
-| prefill time of a token | a prior, corrected by first tokens of long prompts before which nothing waited |
-| round trip | likewise, by the first tokens of each worker, less the prefill |
-| inter-token latency | the gaps between events, observed here or reported by others; decay |
-| a worker or zone is unresponsive | a first token is overdue, and none came since from there |
-| the same, from others | they report overdue first tokens; valid for a moment, unless there was output lately |
-| prefix cache | the parts of all known attempts, the least recently used evicted first |
+| other schedulers' prompts in the queue | their notices, until the prefill of that or a later prompt should be done |
+| any other work before a prompt | the delay of the last first token beyond its expected time; decays |
+| prefill time per token | a prior, corrected by first tokens of long prompts that had no prompt before them |
+| round trip | a prior, corrected by the first tokens of each worker, less the prefill time |
+| inter-token latency | the gaps between stream events, observed by this or reported by other schedulers; decays |
+| unresponsive worker or zone | a first token is overdue, and the worker or zone sent no other one in the meantime |
+| unresponsive worker, by other schedulers | their reports; valid briefly, ignored after recent output |
+| prefix cache | the prompt parts of all known attempts, the least recently used evicted first |
 """
 
 from __future__ import annotations
@@ -35,25 +35,30 @@
 from canvasbeam.dispatch.language_model.zone_liveness import ZoneLiveness
 from canvasbeam.units import MILLISECOND
 
-# The fraction of the time left to a latency target that may be expected to pass: expectations are rough.
+# The fraction of the time left until the latency target that the expected time to first token may use, because the
+# expectation is imprecise.
 TARGET_FRACTION = 0.85
-# A request past its target goes where the backlog is at most this, so that it makes no other late.
+# A request that even an idle worker would answer late goes only to a worker with at most this backlog, so that the
+# request does not make others late.
 MAX_LATE_BACKLOG_NS = 60 * MILLISECOND
-# A first token comes later by so many event gaps: its event holds several tokens, and prefill waits between steps.
+# A first token is expected later by this many event gaps, because its event contains several tokens and prefill waits
+# between steps of the engine.
 EVENT_GAPS_BEFORE_FIRST_TOKEN = 1.0
-# An unresponsive worker is reported this often, and taken for unresponsive this long after a report.
+# Interval between reports of an unresponsive worker, and how long the receiver of a report treats that worker as
+# unresponsive.
 TIMEOUT_REPORT_INTERVAL_NS = 200 * MILLISECOND
 TIMEOUT_VALID_NS = 500 * MILLISECOND
-# A report is not believed of a worker from which output came within this time.
+# Another scheduler's report of an unresponsive worker is ignored if the worker produced output within this time.
 RECENT_OUTPUT_NS = 150 * MILLISECOND
-# Of a worker's KV cache, what own running requests may use, and what cached prefixes are taken to use.
+# The fraction of a worker's KV cache that this scheduler's running requests may use, and the fraction that cached
+# prefixes are assumed to use.
 RUNNING_KV_FRACTION = 0.9
 PREFIX_CACHE_FRACTION = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class EngineCapacity:
-    """The KV cache of each worker of a service, in tokens; `kv_capacity` in the service's settings."""
+    """The size of the KV cache of each worker of a service, in tokens; `kv_capacity` in the service's settings."""
 
     kv_cache_tokens: int
 
@@ -63,11 +68,10 @@
 
 
 class EngineExpectations:
-    """One scheduler's expectations of all language-model workers; an `EngineModel`.
+    """One scheduler's latency predictions for all language-model workers; an `EngineModel`.
 
-    `now` is in nanoseconds of one monotonic clock and never goes back. `on_attempt` is called after each own attempt
-    and `on_timeout` for an unresponsive worker; both tell other schedulers and must not call back into this object's
-    methods that change it.
+    `now` is in nanoseconds of one monotonic clock. `on_attempt` is called after each own attempt and `on_timeout` for
+    an unresponsive worker; both notify other schedulers and must not call methods of this object that change its state.
     """
 
     def __init__(self, own_zone: str) -> None:
@@ -80,15 +84,15 @@
         self.on_timeout: TimeoutListener | None = None
 
     def set_engines(self, capacities: Mapping[str, EngineCapacity]) -> None:
-        """Take the services of the configuration in force that run language models."""
+        """Replace the language-model services, keyed by service, with those of the active configuration."""
         self._capacities = dict(capacities)
 
     # --- decisions --------------------------------------------------------------------------------
 
     def has_capacity(self, now: int, entry: WorkerEntry, request: RequestArrived, time_left_ns: int) -> bool:
-        """Return whether the worker can start the request within its latency target, or else without harm to others.
+        """Return True if the worker can start the request within its latency target, or late without delaying others.
 
-        `time_left_ns` is the time left until the target, negative after it.
+        `time_left_ns` is the time left until the target, negative after the target.
         """
         prompt = request.prompt
         capacity = self._capacities.get(entry.kind)
@@ -106,11 +110,11 @@
         backlog_ns = worker.prefill_queue.backlog_ns(now)
         idle_worker_ns = worker.round_trip_ns + self._prefill_ns(entry, worker, prompt)
         if idle_worker_ns > time_left_ns:
-            return backlog_ns <= MAX_LATE_BACKLOG_NS  # it is late even at an idle worker
+            return backlog_ns <= MAX_LATE_BACKLOG_NS  # even an idle worker would miss the latency target
         return backlog_ns + idle_worker_ns <= max(TARGET_FRACTION * time_left_ns, idle_worker_ns)
 
     def first_token_ns(self, now: int, entry: WorkerEntry, request: RequestArrived) -> float:
-        """Return the expected time to first token in nanoseconds; 0 where nothing is known."""
+        """Return the expected time to first token in nanoseconds; 0 if the worker, service or prompt is unknown."""
         worker = self._workers.get(entry.worker)
         if worker is None or request.prompt is None or entry.kind not in self._capacities:
             return 0.0
@@ -120,19 +124,19 @@
         return worker.round_trip_ns + backlog_ns + prefill_ns + EVENT_GAPS_BEFORE_FIRST_TOKEN * event_gap_ns
 
     def expected_ns(self, worker: str, request_id: str) -> int:
-        """Return the time to first token that was expected when a request was sent, in nanoseconds, or 0."""
+        """Return the time to first token expected when a request was sent, in nanoseconds; 0 if no attempt is known."""
         _, attempt = self._attempt(worker, request_id)
         return round(attempt.first_token_ns) if attempt is not None else 0
 
     def event_gap_to_report_ns(self, now: int, worker: str) -> float:
-        """Return the event gap to report to other schedulers: what was observed here lately; 0 where nothing was."""
+        """Return this scheduler's recently observed event gap in nanoseconds, for other schedulers; 0 = none."""
         model = self._workers.get(worker)
         return model.event_gaps.reported_ns(now) if model is not None else 0.0
 
     # --- own attempts -----------------------------------------------------------------------------
 
     def sent(self, now: int, entry: WorkerEntry, request: RequestArrived) -> None:
-        """Take a request that was sent to the worker."""
+        """Record that a request was sent to the worker, and notify `on_attempt`."""
         prompt = request.prompt
         if prompt is None or entry.kind not in self._capacities:
             return
@@ -147,7 +151,7 @@
             self.on_attempt(entry, prompt)
 
     def started(self, now: int, worker: str, request_id: str) -> None:
-        """Take a request's first token: the prefill of its prompt, and of all prompts before it, is over."""
+        """Record a request's first token: the prefill of its prompt, and of all prompts before it, is complete."""
         model, attempt = self._attempt(worker, request_id)
         if model is None or attempt is None or attempt.has_first_token:
             return
@@ -163,14 +167,14 @@
         model.prefill_queue.finish(now, request_id, max(0.0, latency_ns - attempt.first_token_ns))
 
     def note_event_gap(self, now: int, worker: str, event_gap_ns: float) -> None:
-        """Take an event of an own stream from the worker, which came this long after the one before it."""
+        """Record the gap in nanoseconds between an event of an own stream from the worker and the event before."""
         model = self._workers.get(worker)
         if model is not None:
             model.output_at = now
             model.event_gaps.learn_own(now, event_gap_ns)
 
     def ended(self, now: int, worker: str, request_id: str) -> None:
-        """Take the end of an attempt: the request no longer occupies the worker."""
+        """Record the end of an attempt: the request no longer occupies the worker."""
         model, attempt = self._attempt(worker, request_id)
         if model is not None and attempt is not None:
             del model.attempts[request_id]
@@ -180,14 +184,14 @@
     # --- discovery and other schedulers -----------------------------------------------------------
 
     def listed(self, now: int, entry: WorkerEntry) -> None:
-        """Take a worker from discovery, or forget one that is gone."""
+        """Add a worker from its discovery entry, or remove a worker that discovery reports as gone."""
         if entry.state is WorkerState.GONE:
             self._workers.pop(entry.worker, None)
         else:
             self._worker(entry)
 
     def note_remote_attempt(self, now: int, worker: str, prompt: PromptEstimate, event_gap_ns: float = 0.0) -> None:
-        """Take an attempt of another scheduler, and the event gap that it observed lately, 0 for none."""
+        """Record another scheduler's attempt and that scheduler's recent event gap in nanoseconds (0 = none)."""
         model = self._workers.get(worker)
         if model is not None and model.kind in self._capacities:
             model.prefill_queue.drain(now)
@@ -196,7 +200,7 @@
                 model.event_gaps.learn(now, event_gap_ns)
 
     def note_remote_timeout(self, now: int, worker: str) -> None:
-        """Take another scheduler's report that the worker is unresponsive."""
+        """Record another scheduler's report that the worker is unresponsive, unless it produced output recently."""
         model = self._workers.get(worker)
         if model is not None and now - model.output_at > RECENT_OUTPUT_NS:
             model.unresponsive_until = now + TIMEOUT_VALID_NS
@@ -217,7 +221,7 @@
         return model, model.attempts.get(request_id) if model is not None else None
 
     def _report_timeout(self, now: int, entry: WorkerEntry, worker: WorkerModel) -> None:
-        """Report a worker without any output, so that other schedulers need not lose a request each to it."""
+        """Report a worker without any output, so that other schedulers need not each lose a request at that worker."""
         is_reported = now - worker.timeout_reported_at < TIMEOUT_REPORT_INTERVAL_NS
         if is_reported or not worker.is_overdue(now, worker.output_at):
             return
@@ -237,10 +241,10 @@
 
 
 def _prefill_tokens(worker: WorkerModel, prompt: PromptEstimate) -> int:
-    """Return the tokens of a prompt that need prefill at a worker, at least 1."""
+    """Return the number of tokens of a prompt that need prefill at a worker, at least 1."""
     return max(1, prompt.tokens_in - worker.prefix_cache.cached_tokens(prompt))
 
 
 def _kv_cache_tokens(prompt: PromptEstimate) -> int:
-    """Return the tokens that a request may occupy of the KV cache, with its complete answer."""
+    """Return the number of KV cache tokens that a request may occupy, including its complete answer."""
     return prompt.tokens_in + prompt.most_tokens_out
--- a/canvasbeam/dispatch/language_model/prefix_cache.py
+++ b/canvasbeam/dispatch/language_model/prefix_cache.py
@@ -1,6 +1,7 @@
-"""Model the prefix cache of one worker: the shared prompt parts whose KV cache it is expected to have.
+"""Model the prefix cache of one worker: the prompt parts whose KV cache entries the worker is expected to have.
 
-All attempts that are known fill it; the least recently used parts are evicted first. It never asks the worker.
+The parts of all known attempts are added; the least recently used parts are evicted first. The worker itself is never
+queried.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class PrefixCache:
-    """The prompt parts that one worker is expected to have, in the order of their last use."""
+    """The prompt parts that one worker is expected to have cached, in the order of their last use."""
 
     __slots__ = ("_part_tokens", "_total_tokens")
 
@@ -23,7 +24,7 @@
         self._total_tokens = 0
 
     def cached_tokens(self, prompt: PromptEstimate) -> int:
-        """Return how many tokens from the prompt's begin on need no prefill, 0 to all of the prompt's."""
+        """Return how many tokens at the start of the prompt need no prefill, from 0 to `prompt.tokens_in`."""
         cached = self._part_tokens
         total = 0
         for key, tokens in _prefixes(prompt):
@@ -33,7 +34,7 @@
         return min(total, prompt.tokens_in)
 
     def insert(self, prompt: PromptEstimate, max_tokens: float) -> None:
-        """Add a prompt's parts, or mark them used, and evict least recently used ones down to `max_tokens`."""
+        """Add a prompt's parts or mark them as used, then evict least recently used parts down to `max_tokens`."""
         for key, tokens in _prefixes(prompt):
             if key in self._part_tokens:
                 self._part_tokens.move_to_end(key)
@@ -46,7 +47,7 @@
 
 
 def _prefixes(prompt: PromptEstimate) -> Iterator[tuple[PrefixKey, int]]:
-    """Yield for each part the names of all parts up to it, and its own tokens."""
+    """Yield, for each part of a prompt, the names of all parts up to that part and its number of tokens."""
     names: PrefixKey = ()
     for part in prompt.parts:
         names = (*names, part.name)
--- a/canvasbeam/dispatch/language_model/worker_model.py
+++ b/canvasbeam/dispatch/language_model/worker_model.py
@@ -1,6 +1,6 @@
-"""Hold what one scheduler knows of one language-model worker: attempts, queue, cache and last output.
+"""Store one scheduler's state of one language-model worker: attempts, prefill queue, prefix cache and last output.
 
-`EngineExpectations` changes it; nothing here decides about a request.
+`EngineExpectations` owns and changes this state; the module makes no decisions about requests.
 """
 
 from __future__ import annotations
@@ -12,41 +12,41 @@
 from canvasbeam.dispatch.language_model.prefix_cache import PrefixCache
 from canvasbeam.units import MILLISECOND
 
-# A first token is overdue after this multiple of its expected latency, and this time more.
+# A first token is overdue after this multiple of its expected latency plus this margin.
 OVERDUE_TIMES = 1.5
 OVERDUE_MARGIN_NS = 200 * MILLISECOND
 
 
 @dataclass(slots=True)
 class ModelAttempt:
-    """One of our requests at a worker."""
+    """An attempt of this scheduler at a worker; `sent_at` in nanoseconds."""
 
     sent_at: int
-    prefill_tokens: int  # without those of cached prefixes
-    kv_cache_tokens: int  # with the complete answer
-    wait_ns: float  # expected before its own prefill
-    first_token_ns: float  # expected from the send to the first token
+    prefill_tokens: int  # prompt tokens that need prefill, without cached prefixes
+    kv_cache_tokens: int  # KV cache tokens for the prompt and the complete answer
+    wait_ns: float  # expected wait before the prefill of this prompt
+    first_token_ns: float  # expected time from the send to the first token
     has_first_token: bool = False
 
 
 @dataclass(slots=True)
 class WorkerModel:
-    """What is known of one worker. Instants are nanoseconds of one monotonic clock; 0 stands for never."""
+    """The state of one worker. Times are nanoseconds of one monotonic clock; 0 = never."""
 
     kind: str
     zone: str
     round_trip_ns: float
-    first_token_at: int = 0  # the last one
-    output_at: int = 0  # the last first token or event
-    timeout_reported_at: int = 0  # by us
-    unresponsive_until: int = 0  # as other schedulers reported
+    first_token_at: int = 0  # time of the last first token
+    output_at: int = 0  # time of the last first token or stream event
+    timeout_reported_at: int = 0  # time of this scheduler's last report that the worker is unresponsive
+    unresponsive_until: int = 0  # time until which other schedulers' reports are valid
     attempts: dict[str, ModelAttempt] = field(default_factory=dict)
     prefill_queue: PrefillQueue = field(default_factory=PrefillQueue)
     prefix_cache: PrefixCache = field(default_factory=PrefixCache)
     event_gaps: EventGaps = field(default_factory=EventGaps)
 
     def is_overdue(self, now: int, last_output_at: int) -> bool:
-        """Return whether a first token is overdue for which was asked since the last output."""
+        """Return True if the first token of an attempt sent at or after `last_output_at` is overdue."""
         return any(
             not attempt.has_first_token
             and attempt.sent_at >= last_output_at
--- a/canvasbeam/dispatch/language_model/zone_liveness.py
+++ b/canvasbeam/dispatch/language_model/zone_liveness.py
@@ -1,6 +1,6 @@
-"""Find zones that may be cut off: the workers of another zone share the links to it.
+"""Detect zones that may be partitioned from this scheduler, as all workers of a zone share the network links to it.
 
-The own zone is never taken to be cut off.
+The scheduler's own zone is never treated as partitioned.
 """
 
 from __future__ import annotations
@@ -11,21 +11,21 @@
 
 
 class ZoneLiveness:
-    """Which zones are unresponsive, by the first tokens from all their workers. Reads the workers, changes none."""
+    """Detects unresponsive zones by the first tokens from all their workers, whose state is only read."""
 
     def __init__(self, own_zone: str, workers: Mapping[str, WorkerModel]) -> None:
         self._own_zone = own_zone
         self._workers = workers
-        self._first_token_at: dict[str, int] = {}  # the last one from each zone
-        self._unresponsive: dict[str, bool] = {}  # as found at `_found_at`
+        self._first_token_at: dict[str, int] = {}  # time of the last first token, by zone
+        self._unresponsive: dict[str, bool] = {}  # result by zone, computed at the time `_found_at`
         self._found_at = 0
 
     def note_first_token(self, now: int, zone: str) -> None:
-        """Take a first token from a zone."""
+        """Record a first token from a worker of a zone."""
         self._first_token_at[zone] = now
 
     def is_unresponsive(self, now: int, zone: str) -> bool:
-        """Return whether a first token from another zone is overdue and none came since; found once an instant."""
+        """Return True if a first token from another zone is overdue and the zone sent none since; cached per `now`."""
         if zone == self._own_zone:
             return False
         if now != self._found_at:
--- a/canvasbeam/dispatch/outlier_ejection.py
+++ b/canvasbeam/dispatch/outlier_ejection.py
@@ -1,11 +1,11 @@
-"""Eject workers that fail, and return them by a health check or a trial request.
+"""Eject failing workers, and restore them after a health check or with a trial request.
 
-An ejected worker gets no requests for a while, which doubles with each ejection until it has done work again. Where
-health checks are permitted, one must succeed at the end of that time; then the worker is on trial: one request at a
-time until a sign of work.
+An ejected worker receives no requests for a time that doubles with each ejection, until the worker has done work again.
+If health checks are permitted, one must succeed at the end of that time; then the worker is on trial: it receives one
+request at a time until a request there starts, progresses or succeeds.
 
 Owns each worker's `ejections`, `ejected_until`, `errors`, `broken_connections`, `on_trial`, `is_checking_health`,
-`last_seen` and `last_served`, and until when an error counts as recent.
+`last_seen` and `last_served`, and the time until which the last error counts as recent.
 """
 
 from __future__ import annotations
@@ -18,25 +18,27 @@
 from canvasbeam.dispatch.settings import Effect
 from canvasbeam.units import SECOND
 
-# Each error shows a live process, but no work done.
+# Number of errors in a row after which a worker is ejected: an error shows that the process is alive but does no work.
 CONSECUTIVE_ERRORS_BEFORE_EJECTION = 3
-# Errors remembered of a worker of a large fleet; each success there takes one off.
+# Maximum number of errors remembered per worker; in a large fleet each success removes one.
 MAX_REMEMBERED_ERRORS = 4
-# How long an error counts as a sign that workers may be failing.
+# An error counts as evidence that workers may be failing for this long.
 RECENT_ERROR_WINDOW_NS = 10 * SECOND
-# In a large fleet, how long a success lets a worker have requests that must not be repeated.
+# In a large fleet with recent errors, a worker may receive requests that must not be repeated for this long after a
+# success.
 TRUST_AFTER_SUCCESS_NS = 3 * SECOND // 2
-# In a row, without a sign of work between them.
+# Number of broken connections after which a worker is ejected, if no request there starts, progresses or succeeds in
+# between.
 BROKEN_CONNECTIONS_BEFORE_EJECTION = 2
-# An ejection doubles up to this many connect time-outs.
+# Maximum duration of an ejection, in connect timeouts, up to which the duration doubles.
 MAX_EJECTION_CONNECT_TIMEOUTS = 4
-# In a large fleet it doubles up to half as many connect time-outs as there are dispatchers: forty that each check every
-# removed worker once a second make thousands of health checks.
+# In a large fleet an ejection lasts up to the number of dispatchers divided by this, in connect timeouts, because 40
+# dispatchers that each check every removed worker once a second would cause thousands of health checks.
 DISPATCHERS_PER_EJECTION_TIMEOUT = 2
 
 
 class OutlierEjection:
-    """The evidence against workers, their ejections and their return."""
+    """Error counts, ejections and restorations of workers."""
 
     def __init__(self, context: PartContext, cache: PlacementCache) -> None:
         self._settings = context.settings
@@ -50,7 +52,7 @@
     # --- evidence
 
     def record_activity(self, worker: TrackedWorker) -> None:
-        """Note that a worker has done work: it is healthy, and its ejection ends."""
+        """Record that a worker has done work: it is healthy, and any ejection ends."""
         worker.last_seen = self._current.now
         worker.ejections = worker.broken_connections = 0
         worker.on_trial = False
@@ -58,17 +60,18 @@
             self.restore(worker)
 
     def record_success(self, worker: TrackedWorker) -> None:
-        """Take a good answer of a worker."""
+        """Record a successful attempt at a worker."""
         worker.errors = max(0, worker.errors - 1) if self._fleet.is_large else 0
         worker.last_served = self._current.now
         self.record_activity(worker)
 
     def record_error(self, worker: TrackedWorker, effect: Effect) -> None:
-        """Count an error of a request with this effect; enough of them eject the worker.
+        """Count an error of a request with this effect, and eject the worker after enough errors.
 
-        A worker that fails fast is always available, and so would draw all requests. In a large fleet it looks the
-        emptiest of all, and each dispatcher meets it too rarely to wait for more errors. Each error of an unsafe
-        request loses that request; a rare error costs the worker a short ejection.
+        A worker that fails fast is always available and would attract all requests. In a large fleet one error is
+        enough: a failing worker seems the least loaded, and each dispatcher sends there too rarely to wait for more
+        errors. One error of an unsafe request is enough, because it loses that request; a rare error costs the worker
+        only a short ejection.
         """
         self._recent_errors_until = self._current.now + RECENT_ERROR_WINDOW_NS
         worker.errors = min(worker.errors + 1, MAX_REMEMBERED_ERRORS)
@@ -79,20 +82,21 @@
             self.eject(worker, "errors")
 
     def record_broken_connection(self, worker: TrackedWorker) -> None:
-        """Count a broken connection; enough of them eject the worker.
+        """Count a broken connection, and eject the worker after enough broken connections.
 
-        Connections break one at a time on healthy workers; an ejection for each would shut those out. Of a dead worker
-        all break at once, and the next one is refused.
+        Connections to healthy workers break one at a time, and an ejection for each would exclude healthy workers. All
+        connections to a dead worker break at once, and the next connection is refused.
         """
         worker.broken_connections += 1
         if worker.on_trial or worker.broken_connections >= BROKEN_CONNECTIONS_BEFORE_EJECTION:
             self.eject(worker, "connections lost")
 
     def is_trusted_with_unsafe(self, worker: TrackedWorker, request: TrackedRequest) -> bool:
-        """Return whether a worker of a large fleet may be given a request that must not be repeated.
+        """Return True if a worker of a large fleet may receive a request that must not be repeated.
 
-        In a large fleet each dispatcher learns of a failing worker by a request of its own. While errors are recent,
-        idempotent requests go first; one that is not goes where one succeeded lately, for half of the time it can wait.
+        In a large fleet each dispatcher detects a failing worker only by a request of its own. While errors are recent,
+        idempotent requests go first; for half of the time that a non-idempotent request can wait, only a worker with a
+        recent success may receive that request.
         """
         now = self._current.now
         if worker.errors or now >= self._recent_errors_until:
@@ -104,7 +108,7 @@
     # --- ejection and return
 
     def eject(self, worker: TrackedWorker, reason: str) -> None:
-        """Eject a worker: it gets nothing for a while, longer each time."""
+        """Eject a worker, which then receives no requests for a time that doubles with each ejection."""
         if worker.ejected_until == 0:
             self._current.actions.append(WriteLog(f"worker ejected id={worker.name} reason={reason}"))
         timeouts = min(self._max_ejection_timeouts(), 2**worker.ejections)
@@ -115,13 +119,13 @@
             self._timers.schedule(attempt.request, self._current.now)
 
     def _max_ejection_timeouts(self) -> int:
-        """Return how many connect time-outs an ejection lasts at the most."""
+        """Return the maximum duration of an ejection, in connect timeouts."""
         if not self._fleet.is_large:
             return MAX_EJECTION_CONNECT_TIMEOUTS
         return max(MAX_EJECTION_CONNECT_TIMEOUTS, self._settings.dispatchers // DISPATCHERS_PER_EJECTION_TIMEOUT)
 
     def end_if_due(self, worker: TrackedWorker) -> None:
-        """End an ejection that is over by a health check where permitted, and else by a trial request."""
+        """Start a health check of a worker whose ejection time has passed, or a trial if checks are not permitted."""
         if self._current.now < worker.ejected_until or worker.is_checking_health:
             return
         if self._settings.limits.probes and worker.state is WorkerState.LIVE:
@@ -131,7 +135,7 @@
             self._begin_trial(worker)
 
     def on_health_check_ended(self, worker: TrackedWorker, event: HealthCheckEnded) -> None:
-        """Take the result of a health check of an ejected worker."""
+        """Put an ejected worker on trial after a successful health check, or eject the worker again."""
         if not worker.is_checking_health:
             return
         worker.is_checking_health = False
@@ -141,7 +145,7 @@
             self.eject(worker, "health check failed")
 
     def _begin_trial(self, worker: TrackedWorker) -> None:
-        """Return a worker that gets one request at a time until a sign of work."""
+        """Restore a worker on trial, which receives one request at a time until a request there starts or succeeds."""
         worker.on_trial = True
         self.restore(worker)
 
--- a/canvasbeam/dispatch/placement_cache.py
+++ b/canvasbeam/dispatch/placement_cache.py
@@ -1,7 +1,8 @@
-"""Remember which requests no worker accepted, and which workers have changed since.
+"""Cache the kinds of requests that no worker accepted, and the workers that have changed since.
 
-Testing every worker again for every event takes more time than there is in a large fleet. What no worker accepted is
-offered only to workers at which something started or ended since, until the next sweep forgets all of it.
+Testing every worker again for every event would cost too much CPU time in a large fleet. Requests of a kind that no
+worker accepted are tested only against workers where an attempt has started or ended since. The next sweep clears the
+cached kinds.
 
 Owns both tables. It must never test a worker.
 """
@@ -14,34 +15,34 @@
 
 
 class PlacementCache:
-    """The kinds of requests that no worker accepted, and the workers that may accept them by now."""
+    """The kinds of requests that no worker accepted, and the changed workers that may accept these kinds now."""
 
     def __init__(self) -> None:
         self._unplaceable: dict[EquivalenceKey, None] = {}
         self._changed_workers: dict[str, TrackedWorker] = {}
 
     def add_unplaceable(self, key: EquivalenceKey) -> None:
-        """Note that no worker accepts requests of this kind."""
+        """Record that no worker accepts requests of this kind."""
         self._unplaceable[key] = None
 
     def is_unplaceable(self, key: EquivalenceKey) -> bool:
-        """Return whether no worker accepted requests of this kind when all were tested last."""
+        """Return True if no worker accepted requests of this kind when all workers were last tested."""
         return key in self._unplaceable
 
     def forget_unplaceable(self) -> None:
-        """Have every worker tested again for every kind of request."""
+        """Clear the cached kinds, so that every worker is tested again for every kind of request."""
         self._unplaceable.clear()
 
     def mark_changed(self, worker: TrackedWorker) -> None:
-        """Note that something started or ended at a worker."""
+        """Record that an attempt started or ended at a worker, or that the worker was restored."""
         self._changed_workers[worker.name] = worker
 
     def changed_workers(self) -> Iterable[TrackedWorker]:
-        """Return the workers that have changed since the last pass over pending requests."""
+        """Return the workers marked as changed since the last pass over pending requests."""
         return self._changed_workers.values()
 
     def end_pass(self, *, is_queue_empty: bool) -> None:
-        """End a pass over pending requests, which has tested the workers that had changed."""
+        """End a pass over pending requests, in which all changed workers were tested."""
         self._changed_workers.clear()
         if is_queue_empty:
             self._unplaceable.clear()
--- a/canvasbeam/dispatch/queue_estimates.py
+++ b/canvasbeam/dispatch/queue_estimates.py
@@ -1,8 +1,8 @@
-"""Estimate what workers hold of all dispatchers' requests, where many dispatchers share them.
+"""Estimate how many requests of all dispatchers each worker has, in a fleet that many dispatchers share.
 
-Owns what endpoint lists and load reports said of capacities and slots, and each worker's `fleet_load` and
-`fleet_load_at`. It must never read a clock; all times are nanoseconds on the clock of the events. A dispatcher of a
-small fleet knows a worker by its own requests there, and uses nothing of this.
+Owns the weights and free slots learned from endpoint lists and load reports, and each worker's `fleet_load` and
+`fleet_load_at`. It must never read a clock; all times are nanoseconds on the clock of the events. In a small fleet the
+estimates are not used, because a dispatcher's own requests show the state of each worker.
 """
 
 from __future__ import annotations
@@ -13,37 +13,39 @@
 from canvasbeam.dispatch.service_estimates import ServiceEstimates
 from canvasbeam.dispatch.settings import Settings, Weights
 
-# In a large fleet a worker has capacity while it holds fewer requests than so many for each slot; fewer in other zones,
-# whose own dispatchers need it.
+# In a large fleet a worker is saturated at this many requests per slot; a worker of another zone at fewer, because that
+# zone's own dispatchers need the capacity.
 SATURATION_LOAD = 0.8
 OTHER_ZONES_SATURATION_LOAD = 0.6
-# It has capacity for a request that waited with so many more for each slot, once that can wait no longer.
+# The saturation load rises while a request waits, by this many requests per slot once the request can wait no longer.
 LOAD_ADDED_BY_WAIT = 1.0
-# It has capacity for a request of high priority with so many less: that would preempt what runs and waste its work.
+# The saturation load is this many requests per slot lower for a high-priority request, which would preempt running
+# requests and waste the work done on them.
 HIGH_PRIORITY_LOAD = 0.5
-# What workers of other zones hold is taken to end at this rate: their own dispatchers, whom we do not count, go on
-# sending there.
+# The load of a worker in another zone is assumed to shrink at this fraction of the service rate, because that zone's
+# dispatchers, whose requests are not counted, keep sending to the worker.
 OTHER_ZONES_SERVICE_RATE = 0.25
-# Slots of a worker of whose kind no report was seen.
+# Assumed slots per worker of a kind without any load report.
 DEFAULT_SLOTS = 4.0
-# What a list says that a worker holds for each slot is cut at this: beyond it only the wait differs.
+# Maximum requests per slot derived from an endpoint list: higher loads differ only in the wait.
 MAX_LISTED_LOAD = 20.0
 
 
 class QueueEstimates:
-    """How many requests each worker holds for each of its slots, by lists, reports and own attempts."""
+    """Estimates of each worker's requests per slot, from endpoint lists, load reports and own attempts."""
 
     def __init__(self, settings: Settings, estimates: ServiceEstimates) -> None:
         self._estimates = estimates
         self._own_zone = settings.own_zone
         self._weights_are_live = settings.weights is Weights.LIVE
-        # Where we send a request, the others of a zone, who know the same, are taken to send one each.
+        # The other dispatchers of the zone have the same information, so each is assumed to send one request along with
+        # each request of this dispatcher to the same worker.
         self._dispatchers_alike = max(1.0, settings.dispatchers / len(settings.zones))
-        self._highest_weights: dict[str, float] = {}  # by kind: that of an idle worker
-        self._most_free_slots: dict[str, float] = {}  # by kind
+        self._highest_weights: dict[str, float] = {}  # weight of an idle worker, by kind of worker
+        self._most_free_slots: dict[str, float] = {}  # most free slots reported, by kind of worker
 
     def learn_weight(self, worker: TrackedWorker, weight: float, now: int) -> None:
-        """Take a live weight: that of an idle worker divided by 1 + the requests that it holds for each slot."""
+        """Learn a worker's load from its live weight: an idle worker's weight divided by 1 + the requests per slot."""
         if self._weights_are_live and 0 < weight < inf:
             highest = max(weight, self._highest_weights.get(worker.kind, 0.0))
             self._highest_weights[worker.kind] = highest
@@ -51,28 +53,28 @@
             worker.fleet_load_at = now
 
     def learn_free_slots(self, kind: str, reported: float) -> None:
-        """Take the free slots of a worker's load report."""
+        """Learn the slots of a kind of worker from the free slots in a load report."""
         self._most_free_slots[kind] = max(1.0, float(round(reported)), self._most_free_slots.get(kind, 0.0))
 
     def slots_reported(self, kind: str, default: float) -> float:
-        """Return the most slots that a worker of a kind reported free."""
+        """Return the highest number of free slots that a worker of a kind reported; `default` if none did."""
         return self._most_free_slots.get(kind, default)
 
     def count_sent(self, worker: TrackedWorker, slots: float, now: int) -> None:
-        """Count an own attempt, and those of the dispatchers that know the same."""
+        """Add an own attempt to a worker's load, and one of each other dispatcher that has the same information."""
         added = self._dispatchers_alike * slots / self._most_free_slots.get(worker.kind, DEFAULT_SLOTS)
         worker.fleet_load = self.held_for_each_slot(worker, now) + added
         worker.fleet_load_at = now
 
     def preempted(self, worker: TrackedWorker, now: int) -> None:
-        """Take it that a request of ours was preempted: the worker is full."""
+        """Record that a request of this dispatcher was preempted, which shows that the worker is full."""
         worker.fleet_load = max(1.0, self.held_for_each_slot(worker, now))
         worker.fleet_load_at = now
 
     def held_for_each_slot(self, worker: TrackedWorker, now: int) -> float:
-        """Return how many requests a worker holds for each slot by now if nobody sent more.
+        """Return a worker's estimated requests per slot, assuming that no dispatcher sent more since the last update.
 
-        Queues end evenly, the last requests more and more slowly.
+        The load above one request per slot shrinks linearly, and the rest exponentially.
         """
         rate = 1.0 if worker.zone == self._own_zone else OTHER_ZONES_SERVICE_RATE
         ended = rate * (now - worker.fleet_load_at) / self._estimates.mean_of_kind_ns(worker.kind)
@@ -80,13 +82,13 @@
         return (worker.fleet_load - ended_in_queue) * exp(ended_in_queue - ended)
 
     def is_saturated(self, worker: TrackedWorker, request: TrackedRequest, now: int) -> bool:
-        """Return whether others' requests keep a worker busy, for a request that waited as long as this one.
+        """Return True if other dispatchers' requests saturate a worker, for a request that waited as long as this one.
 
-        Dispatchers that each meet a worker now and then see nothing of the others' requests there. Even turns
-        fill slow ones beyond what they can do, and requests of high priority preempt what runs there, over and over.
+        A dispatcher that sends to a worker only occasionally cannot see the other dispatchers' requests there. Without
+        this test, round-robin overloads slow workers, and high-priority requests preempt running requests repeatedly.
         """
         is_in_own_zone = worker.zone == self._own_zone
-        if request.open_attempts():  # it moves, and not to other zones for the little that it may gain
+        if request.open_attempts():  # moving a request to another zone would gain too little
             return not is_in_own_zone or self.held_for_each_slot(worker, now) >= SATURATION_LOAD
         bearable = SATURATION_LOAD if is_in_own_zone else OTHER_ZONES_SATURATION_LOAD
         if request.request_class.priority > 0:
--- a/canvasbeam/dispatch/request_sweep.py
+++ b/canvasbeam/dispatch/request_sweep.py
@@ -1,7 +1,7 @@
-"""Look at requests that are due: answer those out of time, and move those that are stuck at a worker.
+"""Check requests that are due: end those past their deadline, and move those that are stuck at a worker.
 
-A worker that accepts a request and never starts it, or that is partitioned, would keep it until its deadline. Requests
-that wait in long queues of a large fleet move to where there is capacity.
+A request at a partitioned worker, or at a worker that accepts but never starts the request, would otherwise be stuck
+until its deadline. In a large fleet, requests in workers' queues move to workers with capacity.
 
 Keeps no state.
 """
@@ -22,12 +22,12 @@
 from canvasbeam.dispatch.unresponsive import ResponseTimeouts
 from canvasbeam.dispatch.worker_choice import WorkerChoice
 
-# A request that waits in a worker's queue for so many mean service times moves to where there is capacity.
+# A request that has waited in a worker's queue for this many mean service times may move to a worker with capacity.
 QUEUE_MOVE_SERVICE_TIMES = 0.1
 
 
 class RequestSweep:
-    """What is done for a request when something may be due for it."""
+    """Checks a request at its scheduled time."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         self._timeouts = timeouts
 
     def sweep(self, request: TrackedRequest) -> None:
-        """End a request that is out of time, check one that is pending, and move one that is stuck."""
+        """End a request past its deadline, check a pending request, or move a request that is stuck at a worker."""
         if request.is_done or request.is_streaming:
             return
         now = self._current.now
@@ -71,10 +71,11 @@
     # --- pending requests
 
     def _sweep_pending(self, request: TrackedRequest, now: int) -> None:
-        """Reject a pending request that has lost its value, or put it behind those that have not."""
+        """Reject a pending request that has lost its value, or rank a request past its latency target last."""
         early_rejection_at = self._early_rejection_at(request)
         if now >= early_rejection_at:
-            self._requests.reject_or_fail(request)  # its client may retry while its answer still has a value
+            # The client may retry the rejected request while the answer still has value.
+            self._requests.reject_or_fail(request)
             return
         self._timers.schedule(request, early_rejection_at)
         request_class = request.request_class
@@ -89,7 +90,7 @@
             self._timers.schedule(request, self._timers.next_pending_sweep())
 
     def _early_rejection_at(self, request: TrackedRequest) -> float:
-        """Return when a request has been pending for the share of its latency target that the settings permit."""
+        """Return when a request will have been pending for `early_rejection_share` of its latency target."""
         share = self._settings.early_rejection_share
         if not share or request.was_rejected_before:
             return inf
@@ -98,7 +99,7 @@
     # --- requests with an attempt in flight
 
     def _sweep_sent(self, request: TrackedRequest, now: int) -> None:
-        """Retry a request elsewhere that is stuck in a worker's queue or at an unresponsive worker."""
+        """Move a request that is stuck in a worker's queue or at an unresponsive worker to another worker."""
         open_attempts = request.open_attempts()
         if len(open_attempts) != 1 or not self._settings.limits.cancel:
             return
@@ -115,7 +116,7 @@
         self._move(attempt, now)
 
     def _is_worthless_in_queue(self, attempt: TrackedAttempt, now: int) -> bool:
-        """Return whether a request would only hold up others in a queue that can still answer in time."""
+        """Return True if a queued request is too late to have value and only delays other requests in the queue."""
         request = attempt.request
         return (
             self._fleet.lacks_queue_signal
@@ -125,7 +126,7 @@
         )
 
     def _stays(self, attempt: TrackedAttempt, now: int) -> bool:
-        """Return whether an attempt is left at its worker."""
+        """Return True if an attempt should stay at its worker."""
         return (
             attempt.counts_as_load
             and not attempt.worker.ejected_until
@@ -134,13 +135,13 @@
         )
 
     def _next_check(self, attempt: TrackedAttempt, now: int) -> float:
-        """Return when an attempt that is left at its worker is looked at again."""
+        """Return the time of the next check of an attempt that stays at its worker."""
         if self._fleet.is_large and attempt.is_queued_late():
-            return self._timers.next_pending_sweep()  # it may be moved once queues are short again
+            return self._timers.next_pending_sweep()  # the request may be moved once queues are short again
         return self._timeouts.next_stall_check(attempt, now)
 
     def _should_leave_queue(self, attempt: TrackedAttempt, now: int) -> bool:
-        """Return whether a request that waits in a worker's queue may be moved to the next worker."""
+        """Return True if a request that is late in a worker's queue may be moved to the next worker."""
         if not attempt.is_queued_late():
             return False
         effect = attempt.request.request_class.effect
@@ -150,7 +151,7 @@
         return effect is Effect.KEYED and self._fleet.is_large and self._late_starts.are_queues_short()
 
     def _move(self, attempt: TrackedAttempt, now: int) -> None:
-        """Hedge a stuck request at another worker where that is permitted, or cancel it to be sent again."""
+        """Hedge a stuck request at another worker if permitted, or cancel its attempt so that a retry can follow."""
         request = attempt.request
         if self._settings.limits.second_copies:
             worker = self._choice.choose(request, RoundRobinPass(), now)
--- a/canvasbeam/dispatch/slow_start.py
+++ b/canvasbeam/dispatch/slow_start.py
@@ -1,7 +1,7 @@
-"""Limit what is sent to workers that warm up: slow start.
+"""Limit the work that is sent to workers that are warming up (slow start).
 
-All dispatchers together may overload a worker that has just started. Each keeps to its part of what the worker can do
-within any window, counted in work: expected service time times slots.
+All dispatchers together could overload a worker that has just started. Each dispatcher therefore sends at most its part
+of the work that the worker can do in any time window; work is expected service time times slots.
 
 Owns each worker's `recent`, `rejected_work` and `capacity_at`. It must never read a clock; all times are nanoseconds on
 the clock of the events.
@@ -17,17 +17,17 @@
 from canvasbeam.dispatch.service_estimates import ServiceEstimates
 from canvasbeam.dispatch.settings import Settings
 
-# The fraction of its part of a worker's budget that a dispatcher uses: service times are only estimates.
+# The fraction of its part of a worker's budget that a dispatcher uses, because service times are only estimates.
 SAFETY_FACTOR = 0.7
-# In a large fleet the dispatchers of a worker's own zone share this fraction of its budget.
+# In a large fleet the dispatchers of a worker's own zone share this fraction of the worker's budget.
 OWN_ZONE_FRACTION = 0.75
-# Where a dispatcher's part of a budget is less than one request, they take turns: in each of so many spans of the
-# window only some may send one. A window then overlaps one span too many at the most.
+# If a dispatcher's part of a budget is less than one request, the dispatchers take turns: the window is divided into
+# this many spans, in each of which only some may send a request. A window then overlaps at most one span too many.
 SPANS_PER_WINDOW = 8
 
 
 class SlowStart:
-    """The budget of work for each worker that warms up."""
+    """The budget of work for each worker that is warming up."""
 
     def __init__(
         self,
@@ -37,20 +37,20 @@
         workers: Mapping[str, TrackedWorker],
         fleet: FleetTraits,
     ) -> None:
-        """Keep to these settings; `workers` are all that are known, which the endpoint set adds to."""
+        """Use these settings; `workers` are all known workers, to which the endpoint set adds new ones."""
         self._settings = settings
         self._estimates = estimates
         self._queues = queues
         self._workers = workers
         self._fleet = fleet
-        self._slots_of_kind: dict[str, float] = {}  # within a pass
+        self._slots_of_kind: dict[str, float] = {}  # estimated slots by kind of worker, cleared at each pass
 
     def begin_pass(self) -> None:
-        """Forget what was computed for the pass before."""
+        """Discard the values computed in the previous pass."""
         self._slots_of_kind.clear()
 
     def share(self, worker: TrackedWorker, now: int) -> float:
-        """Return the fraction of its capacity that a worker has at least, growing evenly until it has warmed up."""
+        """Return the minimum fraction (0 to 1) of its capacity that a worker has, growing linearly during warm-up."""
         rules = self._settings.rules
         if worker.started_at <= 0 or rules.warm_up_ns <= 0:
             return 1.0
@@ -58,14 +58,14 @@
         return min(1.0, rules.initial_share + (1 - rules.initial_share) * max(0.0, age))
 
     def count_work(self, worker: TrackedWorker, request: TrackedRequest, now: int) -> None:
-        """Count the work of a request that is sent to a worker, where that warms up."""
+        """Count the work of a request that is sent to a worker, if the worker is warming up."""
         if self.share(worker, now) < 1:
             worker.recent.append((now, self._work(worker, request)))
 
     def allows(self, worker: TrackedWorker, request: TrackedRequest, now: int) -> bool:
-        """Return whether our part of a worker's budget has capacity for this request.
+        """Return True if this dispatcher's part of a worker's budget has capacity for this request.
 
-        What the worker rejects counts too.
+        Work that was sent and that the worker rejected is counted too.
         """
         share = self.share(worker, now)
         if share >= 1:
@@ -86,25 +86,25 @@
         return wanted <= share * part
 
     def _work(self, worker: TrackedWorker, request: TrackedRequest) -> float:
-        """Return the work of a request, in nanoseconds times slots."""
+        """Return the work of a request at a worker, in nanoseconds times slots."""
         return self._estimates.of_request_ns(request, worker) * request.slots
 
     def _forget_before_window(self, worker: TrackedWorker, now: int) -> None:
-        """Forget the work that was sent before the window that ends now."""
+        """Discard the work that was sent before the window that ends now."""
         begin = now - self._settings.rules.overload_window_ns
         while worker.recent and worker.recent[0][0] <= begin:
             worker.recent.popleft()
 
     def _complete_budget(self, worker: TrackedWorker, now: int) -> float:
-        """Return the work that all dispatchers may send to a worker within a window once it has warmed up."""
+        """Return the work that all dispatchers together may send to a warm worker within a window."""
         rules = self._settings.rules
         return rules.overload_multiple * self._comparable_slots(worker, now) * rules.overload_window_ns
 
     def _parts_of(self, worker: TrackedWorker) -> float:
-        """Return into how many parts like ours a worker's budget is divided.
+        """Return the number of parts, of the size of this dispatcher's part, in a worker's budget.
 
-        In a large fleet equal parts leave three in four unused, those of other zones' dispatchers, and
-        a zone that returns whole would send its requests away for as long as it warms up.
+        In a large fleet equal parts would leave three of four parts unused, those of other zones' dispatchers, and a
+        zone that returns after an outage would send its requests to other zones until its workers have warmed up.
         """
         everybody, zones = self._settings.dispatchers, len(self._settings.zones)
         if not self._fleet.is_large or zones < 2:
@@ -114,10 +114,10 @@
         return (everybody - everybody / zones) / (1 - OWN_ZONE_FRACTION)
 
     def _has_turn(self, worker: TrackedWorker, work: float, part: float, now: int) -> bool:
-        """Return whether it is our turn to send a worker one request, where an equal part is less than a request.
+        """Return True if it is this dispatcher's turn to send a worker one request that exceeds a dispatcher's part.
 
-        Among hundreds of dispatchers no part ever holds a request, and a site that lost a zone would stay on
-        the few workers left until the others have warmed up. They count off by number, worker and time.
+        With hundreds of dispatchers no part is large enough for a request, and a site that lost a zone would use only
+        the few remaining workers until the others have warmed up. Turns follow dispatcher number, worker and time.
         """
         span_ns = max(1, self._settings.rules.overload_window_ns // SPANS_PER_WINDOW)
         groups = 1 << max(0, ceil(log2(SPANS_PER_WINDOW * work / part)))
@@ -132,9 +132,9 @@
         return False
 
     def _capacity_at(self, worker: TrackedWorker, share: float, now: int) -> int:
-        """Return when a worker may have capacity: grown to this share, or its oldest request out of the window.
+        """Return when a worker may have capacity: once warmed up to `share`, or its oldest work is out of the window.
 
-        Among many workers that warm up, testing each again at every sweep takes more time than there is.
+        With many workers warming up, testing each worker again at every sweep would cost too much CPU time.
         """
         rules = self._settings.rules
         age = (share - rules.initial_share) / (1 - rules.initial_share) if share < 1 else 1.0
@@ -142,7 +142,7 @@
         return min(worker.started_at + round(rules.warm_up_ns * age), oldest + rules.overload_window_ns)
 
     def _comparable_slots(self, worker: TrackedWorker, now: int) -> float:
-        """Return what the median of the warm workers of its kind was seen to bear at once, or reported free."""
+        """Return a worker's slots: the median of the highest loads of warm workers of its kind, or reported slots."""
         known = self._slots_of_kind.get(worker.kind)
         if known is not None:
             return known
--- a/canvasbeam/dispatch/sweep_timers.py
+++ b/canvasbeam/dispatch/sweep_timers.py
@@ -1,7 +1,7 @@
-"""Keep what is due when: the requests and workers that a sweep is to look at, and the timer that starts it.
+"""Schedule the checks of requests and workers, and the timer that starts the sweep in which checks that are due run.
 
-Owns the two heaps of times, the timer's state, and how often pending requests are looked at. It must never decide what
-is done at a sweep. All times are nanoseconds on the clock of the events.
+Owns the two heaps of check times, the timer's state, and the interval of checks of pending requests. It must never
+decide what a check does. All times are nanoseconds on the clock of the events.
 """
 
 from __future__ import annotations
@@ -18,51 +18,51 @@
 
 # The token of the timer that starts a sweep.
 SWEEP_TIMER = "sweep"
-# The sweep looks at time-outs no more often than this many quanta: often enough for any latency target.
+# Minimum interval between two sweeps, in quanta of the settings: short enough for any latency target.
 SWEEP_QUANTA = 4
-# Sweeps for workers that have become available, in the shortest latency target, while requests are pending.
+# While requests are pending, the number of sweeps within the shortest latency target that look for available workers.
 PENDING_SWEEPS_PER_LATENCY_TARGET = 10
 
 _Tracked = TypeVar("_Tracked", TrackedRequest, TrackedWorker)
 
 
 class SweepTimers:
-    """When each request and worker is to be looked at next.
+    """The next check time of each request and worker.
 
-    A sweep that looks at all requests and workers takes more time than there is among many. Each says when something
-    may have to be done for it; what happens to it meanwhile brings that forward.
+    Checking all requests and workers in each sweep would cost too much CPU time in a large fleet. Therefore each one is
+    scheduled for the time at which a check may be needed, and later events bring that time forward.
     """
 
     def __init__(self, settings: Settings, current: CurrentPass) -> None:
         self._current = current
-        self.shortest_ns = SWEEP_QUANTA * settings.quantum_ns  # between two sweeps at the least
+        self.shortest_ns = SWEEP_QUANTA * settings.quantum_ns  # minimum interval between two sweeps
         self._pending_interval_ns = self._choose_pending_interval(settings.classes)
-        self._wake = inf  # when the next sweep is needed
-        self._armed = inf  # the earliest timer set for it
+        self._wake = inf  # time at which the next sweep is needed
+        self._armed = inf  # time of the earliest timer that was set for a sweep
         self._requests: list[tuple[float, int, TrackedRequest]] = []
         self._workers: list[tuple[float, int, TrackedWorker]] = []
-        self._pushed = 0  # entries of both heaps so far: orders those of one time
+        self._pushed = 0  # entries pushed onto either heap so far: the tie-breaker between equal times
 
     @property
     def now(self) -> int:
-        """The time of the current pass."""
+        """The time of the current pass, in nanoseconds."""
         return self._current.now
 
     def change_classes(self, classes: Sequence[RequestClass]) -> None:
-        """Take new classes, whose shortest latency target tells how often pending requests are looked at."""
+        """Replace the classes, whose shortest latency target determines how often pending requests are checked."""
         self._pending_interval_ns = self._choose_pending_interval(classes)
 
     def _choose_pending_interval(self, classes: Sequence[RequestClass]) -> int:
-        """Return how often workers are looked for while requests are pending, in nanoseconds."""
+        """Return the interval, in nanoseconds, between sweeps while requests are pending."""
         shortest = min((known.latency_target_ns for known in classes), default=SECOND)
         return max(self.shortest_ns, shortest // PENDING_SWEEPS_PER_LATENCY_TARGET)
 
     def next_pending_sweep(self) -> int:
-        """Return when pending requests are looked at next."""
+        """Return the time at which pending requests are checked next."""
         return self._current.now + self._pending_interval_ns
 
     def schedule(self, tracked: TrackedRequest | TrackedWorker, when: float) -> None:
-        """Have the first sweep at or after this time look at a request or a worker."""
+        """Schedule a check of a request or worker in the first sweep at or after `when`, unless scheduled earlier."""
         if when < tracked.check_at:
             tracked.check_at = when
             self._pushed += 1
@@ -73,39 +73,39 @@
             self.wake_by(when)
 
     def wake_by(self, when: float) -> None:
-        """Have a sweep at this time at the latest, but no sooner than the shortest interval from now.
+        """Schedule a sweep at `when` at the latest, but not before the minimum interval has passed.
 
-        Hundreds of dispatchers that each look every few quanta take more time than there is.
+        Hundreds of dispatchers that each sweep every few quanta would cost too much CPU time.
         """
         self._wake = min(self._wake, max(when, self._current.now + self.shortest_ns))
 
     def begin_sweep(self) -> bool:
-        """Begin the sweep that the timer was set for; false where this timer was set for an earlier one."""
+        """Begin a sweep; return False without one if the timer fired before the time set last, so is outdated."""
         if self._current.now < self._armed:
             return False
         self._wake = self._armed = inf
         return True
 
     def due_workers(self) -> list[TrackedWorker]:
-        """Take the workers to be looked at now, in the order in which they were first named."""
+        """Remove and return the workers to check now, in the order in which workers were first listed."""
         return sorted(self._due(self._workers), key=lambda worker: worker.listed_as)
 
     def due_requests(self) -> list[TrackedRequest]:
-        """Take the requests to be looked at now, in the order of their arrival."""
+        """Remove and return the requests to check now, in the order of their arrival."""
         return sorted(self._due(self._requests), key=lambda request: request.rank.arrival)
 
     def end_sweep(self) -> None:
-        """Plan the next sweep by what is due first."""
+        """Schedule the next sweep for the earliest check time in either heap."""
         if self._workers:
             self.wake_by(self._workers[0][0])
         if self._requests:
             self.wake_by(self._requests[0][0])
 
     def rearm(self) -> int | None:
-        """Return the time of a timer that is to be set, or none where the one that is set will do.
+        """Return the time of a timer that must be set, or None if the timer already set is early enough.
 
-        Whose clock counts microseconds may fire a timer a part of one early. Taken for one that was set before,
-        it would be passed over, and no sweep ever came again.
+        The time is a whole microsecond, because a caller whose clock counts microseconds may fire a timer a fraction of
+        one early. `begin_sweep` would ignore that timer as an outdated one, and no sweep would ever run again.
         """
         if not (self._wake < self._armed or self._armed <= self._current.now):
             return None
@@ -114,7 +114,7 @@
         return when
 
     def _due(self, heap: list[tuple[float, int, _Tracked]]) -> list[_Tracked]:
-        """Take what is due off a heap; entries that were brought forward since are dropped."""
+        """Remove and return the requests or workers in a heap that are due; drop entries that were rescheduled."""
         found = []
         while heap and (heap[0][0] <= self._current.now or heap[0][2].check_at != heap[0][0]):
             when, _, tracked = heappop(heap)
--- a/canvasbeam/dispatch/unresponsive.py
+++ b/canvasbeam/dispatch/unresponsive.py
@@ -1,9 +1,9 @@
-"""Judge by missing notes which attempts have stalled and which workers are unresponsive.
+"""Detect stalled attempts and unresponsive workers by missing start and progress notifications.
 
-A connection may stall though its worker is healthy: the answer of its attempt never comes. A worker that hangs or is
-partitioned ends no attempt, and all its notes stop.
+A connection may stall although its worker is healthy: the response of its attempt never arrives. A worker that hangs or
+is partitioned completes no attempt, and all its notifications stop.
 
-Keeps no state: it judges by the times in the records of attempts and workers.
+Keeps no state: it compares the times in the records of attempts and workers.
 """
 
 from __future__ import annotations
@@ -14,18 +14,19 @@
 from canvasbeam.dispatch.service_estimates import ServiceEstimates
 from canvasbeam.dispatch.settings import Settings
 
-# A worker is unresponsive without a progress note for this many intervals: one note may be lost or late.
+# A worker is unresponsive after this many progress intervals without a progress notification, because one notification
+# may be lost or late.
 UNRESPONSIVE_PROGRESS_INTERVALS = 2.5
-# An attempt that has started stalls without a progress note for this many intervals.
+# A started attempt has stalled after this many progress intervals without a progress notification.
 STALLED_PROGRESS_INTERVALS = 1.25
-# An attempt stalls that has not started for this many mean service times.
+# An attempt that has not started has stalled after this many mean service times.
 STALLED_START_SERVICE_TIMES = 3
-# What is learned meanwhile may shorten a wait, so it is checked after each part of it.
+# The wait until an attempt stalls is checked this many times, because newly learned service times may shorten the wait.
 STALL_CHECKS_PER_WAIT = 4
 
 
 class ResponseTimeouts:
-    """The times at which attempts stall and workers become unresponsive."""
+    """Times after which attempts count as stalled and workers as unresponsive."""
 
     def __init__(self, settings: Settings, estimates: ServiceEstimates, fleet: FleetTraits) -> None:
         self._estimates = estimates
@@ -35,15 +36,15 @@
         self._progress_ns = settings.progress_ns
 
     def stall_time(self, attempt: TrackedAttempt) -> float:
-        """Return when the next note of an attempt is overdue: that it has started, or that it goes on."""
+        """Return when the next start or progress notification of an attempt is overdue; inf = never."""
         if attempt.started_at:
             return attempt.last_seen + STALLED_PROGRESS_INTERVALS * self._progress_ns if self._progress_ns else inf
         wait = round(STALLED_START_SERVICE_TIMES * self._estimates.mean_ns())
-        # In a large fleet queues are long, and moving what waits there would fill them further.
+        # In a large fleet workers' queues are long, and moving queued requests would lengthen the queues further.
         return attempt.sent_at + wait if self._tells_start and not self._fleet.is_large else inf
 
     def next_stall_check(self, attempt: TrackedAttempt, now: int) -> float:
-        """Return when a note is overdue, or the end of the present part of that wait."""
+        """Return when a notification of an attempt is overdue, or the end of the current part of the wait if sooner."""
         stalls_at = self.stall_time(attempt)
         if stalls_at == inf:
             return inf
@@ -52,14 +53,14 @@
         return min(stalls_at, float((now // part + 1) * part))
 
     def has_stalled(self, attempt: TrackedAttempt, now: int) -> bool:
-        """Return whether the notes of an attempt have stopped, or never came."""
+        """Return True if the next notification of an attempt is overdue."""
         return now >= self.stall_time(attempt)
 
     def unresponsive_at(self, worker: TrackedWorker) -> float:
-        """Return when a worker counts as unresponsive: the notes of what runs there have stopped.
+        """Return when a worker counts as unresponsive because notifications of its running attempts have stopped.
 
-        A request that has not started proves nothing: it may wait behind the requests of other dispatchers. Workers
-        that run batches start every request, so there a missing start tells.
+        A request that has not started is no evidence, because it may wait behind other dispatchers' requests. Workers
+        that run batches start every request, so a missing start at these workers is evidence.
         """
         if self._runs_batches:
             return self._start_missing_at(worker)
@@ -69,7 +70,7 @@
         return max(worker.last_seen, min(started)) + UNRESPONSIVE_PROGRESS_INTERVALS * self._progress_ns
 
     def _start_missing_at(self, worker: TrackedWorker) -> float:
-        """Return when the first start at a worker is late, counted from the last sign of the worker."""
+        """Return when the first start at a worker is late, counted from the worker's last activity."""
         return min(
             (
                 max(attempt.late_at, worker.last_seen + attempt.late_at - attempt.sent_at)
--- a/canvasbeam/dispatch/worker_acceptance.py
+++ b/canvasbeam/dispatch/worker_acceptance.py
@@ -1,8 +1,8 @@
 """Test whether a worker accepts a request now.
 
-Keeps no state. A worker accepts a request while it is live, healthy and below its concurrency limit, while it is not
-saturated by others' requests, and while slow start, the limits over all dispatchers, and what is expected of a language
-model's worker permit.
+Keeps no state. A worker accepts a request if the worker is live, healthy, below its concurrency limit and not saturated
+by other dispatchers' requests, and if slow start, the limits over all dispatchers and, for language-model workers, the
+expected time to first token permit the request.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class WorkerAcceptance:
-    """The test whether a worker can receive a request."""
+    """Tests whether a worker can receive a request."""
 
     def __init__(
         self,
@@ -38,11 +38,11 @@
         self._ejection = ejection
         self._fleet_limits = context.fleet_limits
         self._engines = context.engines
-        # A worker that runs one request after the other shows by the next start that it has capacity.
+        # A worker that runs requests one after the other has no capacity until its last request is reported as started.
         self._waits_for_starts = context.settings.tells_start and not context.settings.batches
 
     def can_receive(self, worker: TrackedWorker, request: TrackedRequest, now: int) -> bool:
-        """Return whether a worker is available, has capacity in a large fleet, and accepts the request."""
+        """Return True if a worker is available, in a large fleet not saturated by others, and accepts the request."""
         return (
             self.is_available(worker, now)
             and not (self._fleet.has_live_weights and self._queues.is_saturated(worker, request, now))
@@ -50,7 +50,7 @@
         )
 
     def is_available(self, worker: TrackedWorker, now: int) -> bool:
-        """Return whether a worker is neither saturated, ejected nor on trial, whatever the request."""
+        """Return True if a worker is live and neither saturated, ejected nor busy with a trial, for any request."""
         if worker.unstarted and self._waits_for_starts:
             return False
         if now < worker.saturated_until or 0 < worker.entry.slots <= worker.load:
@@ -60,7 +60,7 @@
         return self._limits.has_capacity(worker, now)
 
     def accepts(self, worker: TrackedWorker, request: TrackedRequest, now: int) -> bool:
-        """Return whether a worker may be sent this request, where it is available."""
+        """Return True if an available worker may receive this request."""
         if not worker.entry.may_run(request.request_class, request.event):
             return False
         if self._fleet_limits is not None and not self._fleet_limits.may_send_while_warming_up(now, worker.name):
@@ -77,5 +77,5 @@
     def _is_prompt_accepted(
         self, engines: EngineModel, worker: TrackedWorker, request: TrackedRequest, now: int
     ) -> bool:
-        """Return whether a language model's worker is expected to start this request within its latency target."""
+        """Return True if a language-model worker is expected to start this request within its latency target."""
         return engines.has_capacity(now, worker.entry, request.event, self._estimates.in_time_until(request) - now)
--- a/canvasbeam/dispatch/worker_choice.py
+++ b/canvasbeam/dispatch/worker_choice.py
@@ -1,6 +1,6 @@
-"""Choose the worker for a request: the next in round-robin order of the best ring that has one that accepts it.
+"""Choose the worker for a request: the next in round-robin order that accepts the request, from the best ring with one.
 
-Where first tokens are expected, the soonest of several workers may go before its position in that order.
+For language-model requests, the worker with the soonest expected first token may go before its position in that order.
 
 Owns each worker's `round_robin_lead`. It must never start an attempt.
 """
@@ -17,16 +17,16 @@
 from canvasbeam.dispatch.retry_policy import RetryPolicy
 from canvasbeam.dispatch.round_robin import RoundRobin, RoundRobinPass
 
-# A rejected request goes only to workers seen within so many mean service times, while there is one.
+# A rejected request prefers workers that were active within the last this many mean service times.
 RECENTLY_SEEN_SERVICE_TIMES = 4
-# The soonest first token is looked for among so many workers of a ring, in round-robin order.
+# The soonest expected first token is chosen among this many workers of a ring, in round-robin order.
 FIRST_TOKEN_CANDIDATES = 16
-# A first token that is expected sooner by less than this does not change the round-robin order.
+# Minimum advantage in the expected time to first token for which a request departs from the round-robin order.
 FIRST_TOKEN_ADVANTAGE_NS = 5_000_000
 
 
 class WorkerChoice:
-    """The choice of a worker for a request."""
+    """Chooses the worker for a request."""
 
     def __init__(
         self, context: PartContext, *, retries: RetryPolicy, limits: ConcurrencyLimits, round_robin: RoundRobin
@@ -40,7 +40,7 @@
         self._engines = context.engines if context.settings.max_round_robin_lead > 0 else None
 
     def choose(self, request: TrackedRequest, current_pass: RoundRobinPass, now: int) -> TrackedWorker | None:
-        """Return the worker that the request is to be sent to now; none where it must stay pending."""
+        """Return the worker to send the request to now, or None if the request must stay pending."""
         if self._limits.is_in_flight_limit_reached() and not request.open_attempts():
             return None
         is_retry = request.attempts or request.event.repeat
@@ -60,13 +60,14 @@
         return None
 
     def _may_retry_at(self, worker: TrackedWorker, request: TrackedRequest, now: int) -> bool:
-        """Return whether a request that was sent before may go to a worker that accepts it."""
+        """Return True if a worker that accepts a request may receive a retry of that request."""
         return self._retries.may_send_to(worker, request) and self._is_recently_seen(worker, request, now)
 
     def _is_recently_seen(self, worker: TrackedWorker, request: TrackedRequest, now: int) -> bool:
-        """Return whether a worker was seen lately, for which a rejected request waits in a large fleet.
+        """Return True if a worker was active recently, or the request need not wait for a recently active worker.
 
-        On an outdated list a request would try one removed worker after the other until its attempts are used up.
+        Only a rejected request in a large fleet waits: with an outdated endpoint list, the request would use up its
+        attempts on removed workers.
         """
         if not self._fleet.is_large or not any(attempt.not_executed for attempt in request.attempts):
             return True
@@ -78,7 +79,8 @@
     ) -> TrackedWorker:
         """Return the worker with the soonest first token among those not too far ahead in round-robin order.
 
-        By the prefix cache alone all dispatchers would send requests that share a prefix to one worker.
+        Without the limit on the lead, all dispatchers would send requests that share a prefix to the same worker,
+        whose prefix cache has that prefix.
         """
         waits = [engines.first_token_ns(now, worker.entry, request.event) for worker in workers]
         next_in_order = min(range(len(workers)), key=lambda place: workers[place].round_robin_lead)
@@ -93,7 +95,7 @@
         return chosen
 
     def _advance_order(self, workers: list[TrackedWorker], chosen: TrackedWorker) -> None:
-        """Put the chosen worker ahead of the others by one turn, which is divided among all."""
+        """Move the chosen worker ahead by one turn, and all candidates back by an equal part of that turn."""
         for worker in workers:
             lead = worker.round_robin_lead - 1 / len(workers) + (worker is chosen)
             worker.round_robin_lead = max(-self._max_lead, min(self._max_lead, lead))
--- a/canvasbeam/dispatch/worker_sweep.py
+++ b/canvasbeam/dispatch/worker_sweep.py
@@ -1,4 +1,4 @@
-"""Look at workers that are due: starts that are late, attempts that have stalled, and ejections that are over.
+"""Check workers that are due: detect late starts, stalled attempts and unresponsive workers, and end ejections.
 
 Keeps no state.
 """
@@ -15,7 +15,7 @@
 
 
 class WorkerSweep:
-    """What is done for a worker when something may be due for it."""
+    """Checks a worker at its scheduled time."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._runs_batches = context.settings.batches
 
     def sweep(self, worker: TrackedWorker) -> None:
-        """Check a worker's starts, eject it where it is unresponsive, and end its ejection when due."""
+        """Check a worker's attempts, eject the worker if unresponsive, and end an ejection whose time has passed."""
         now = self._current.now
         for attempt in tuple(worker.attempts):
             self._sweep_attempt(attempt, now)
@@ -52,16 +52,16 @@
             self._timers.schedule(worker, worker.ejected_until)
 
     def _eject_unresponsive(self, worker: TrackedWorker) -> None:
-        """Eject a worker whose notes have stopped.
+        """Eject a worker whose start and progress notifications have stopped, and stop counting its attempts as load.
 
-        Answers that a partition lost never come; counted as load, they would keep the worker saturated afterwards.
+        Responses that a partition lost never arrive, so their attempts would keep the worker saturated afterwards.
         """
         self._ejection.eject(worker, "unresponsive")
         for attempt in tuple(worker.attempts):
             self._attempts.remove_load(attempt)
 
     def _sweep_attempt(self, attempt: TrackedAttempt, now: int) -> None:
-        """Stop counting a stalled attempt as load, and take a late start as a sign of a queue."""
+        """Stop counting a stalled attempt at an active worker as load, and lower limits if the attempt starts late."""
         worker = attempt.worker
         if not self._timeouts.has_stalled(attempt, now):
             self._timers.schedule(worker, self._timeouts.next_stall_check(attempt, now))
@@ -77,7 +77,7 @@
             self._timers.schedule(worker, attempt.late_at)
 
     def _take_late_start(self, attempt: TrackedAttempt, now: int) -> None:
-        """Lower the limits of a worker that is late with a start, and look at the request."""
+        """Lower the limits of a worker with a late start, and schedule a check of the request."""
         worker = attempt.worker
         attempt.is_late = True
         self._timers.schedule(attempt.request, now)
--- a/canvasbeam/dispatch/worker_watch.py
+++ b/canvasbeam/dispatch/worker_watch.py
@@ -1,6 +1,6 @@
-"""Watch discovery for changes of the endpoint list, where lists must be asked for.
+"""Watch discovery for changes of the endpoint list, if discovery does not push endpoint lists.
 
-Owns whether the watch was begun and how often in a row it failed. It must never read a list.
+Owns whether the watch was started and its number of failures in a row. It must never read an endpoint list.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 from canvasbeam.dispatch.events import ListKind
 from canvasbeam.dispatch.settings import Discovery, Settings
 
-# The token of the timer after which a failed watch is begun again.
+# The token of the timer that restarts a failed watch.
 WATCH_TIMER = "watch"
-# The backoff between failed watches doubles up to so many times.
+# Maximum number of doublings of the backoff before a failed watch is restarted.
 MAX_BACKOFF_DOUBLINGS = 5
 
 
@@ -27,14 +27,14 @@
         self._has_begun = False
 
     def on_lost(self) -> None:
-        """Begin again after a backoff: at once would add to the load of a discovery that is already failing."""
+        """Restart the lost watch after a backoff, as an immediate restart would add load to a failing discovery."""
         self._failures += 1
         if self._is_needed:
             wait = self._backoff_ns * 2 ** min(self._failures, MAX_BACKOFF_DOUBLINGS)
             self._current.actions.append(SetTimer(WATCH_TIMER, self._current.now + wait))
 
     def on_listed(self, list_kind: ListKind) -> None:
-        """Take it that a list came, and begin to watch after the first one."""
+        """Reset the backoff unless the list is a warm copy, and start the watch after the first list."""
         if list_kind is not ListKind.WARM_COPY:
             self._failures = 0
         if self._is_needed and not self._has_begun:
@@ -42,5 +42,5 @@
             self._current.actions.append(WatchWorkers(True))
 
     def on_timer(self) -> None:
-        """Begin to watch again after a failure."""
+        """Restart the watch after a failure."""
         self._current.actions.append(WatchWorkers(True))
