--- a/canvasbeam/adapter.py
+++ b/canvasbeam/adapter.py
@@ -91,8 +91,8 @@
     )
 )
 # Values of the field `kind` of an UpdateOf message.
-STARTED_NOTE = 1
-PROGRESS_NOTE = 2
+STARTED_UPDATE = 1
+PROGRESS_UPDATE = 2
 
 
 # --- events
@@ -128,15 +128,15 @@
     )
 
 
-def read_note(fields: Fields) -> Event | None:
+def read_attempt_update(fields: Fields) -> Event | None:
     """Decode a status update of an attempt; return None if the kind of update is unknown."""
     request_id = text(fields, "requestId")
     attempt = whole_number(fields, "hop", 0)
     worker = text(fields, "runner")
     kind = whole_number(fields, "kind")
-    if kind == STARTED_NOTE:
+    if kind == STARTED_UPDATE:
         return AttemptStarted(request_id, attempt, worker)
-    if kind == PROGRESS_NOTE:
+    if kind == PROGRESS_UPDATE:
         return AttemptProgressed(request_id, attempt, worker, number(fields, "value", 0.0))
     return None
 
@@ -251,15 +251,15 @@
         self._lines = iter(lines)
         self._out = out
         self._err = err
-        self._lists: dict[int, tuple[WorkerEntry, ...]] = {}
+        self._worker_lists: dict[int, tuple[WorkerEntry, ...]] = {}
         self._instances: dict[int, Instance] = {}
         # Numbers of the instances with messages in this batch, in order of their first message.
-        self._addressed: dict[int, None] = {}
+        self._instances_in_batch: dict[int, None] = {}
         self._readers: dict[str, Callable[[Instance, Fields], Event | None]] = {
             "BackendsChanged": lambda _, fields: self._read_workers(fields),
             "WorkItem": lambda _, fields: read_arrival(fields),
             "Opened": lambda _, fields: read_stream_opened(fields),
-            "UpdateOf": lambda _, fields: read_note(fields),
+            "UpdateOf": lambda _, fields: read_attempt_update(fields),
             "Answer": lambda instance, fields: instance.read_attempt_ended(fields),
             "Hangup": lambda _, fields: ClientDisconnected(text(fields, "requestId")),
             "TimeoutFired": lambda _, fields: TimerFired(text(fields, "nonce")),
@@ -273,9 +273,9 @@
             if opening.get("t") != BEGIN_BATCH:
                 raise WireError(f"expected a BeginBatch message, got {opening.get('t')!r}")
             now, batch = whole_number(opening, "clockNs"), whole_number(opening, "turn")
-            self._addressed.clear()
+            self._instances_in_batch.clear()
             while (message := self._next_message()) is not None and message.get("t") != END_BATCH:
-                self._take(message)
+                self._process_message(message)
             if message is None:
                 raise WireError("input ended inside a batch, before its Commit message")
             self._reply(now, batch)
@@ -294,44 +294,44 @@
             return message
         return None
 
-    def _take(self, message: Fields) -> None:
+    def _process_message(self, message: Fields) -> None:
         """Process one message of a batch: a worker list, the launch or detach of an instance, or an event."""
         tag = message["t"]
         if tag == BEGIN_BATCH:
             raise WireError("BeginBatch inside a batch: the previous batch has no Commit message")
         if tag == WORKER_LIST:
-            self._take_list(message)
+            self._store_worker_list(message)
         elif tag == LAUNCH:
             self._launch(message)
         elif tag == DETACH:
             self._detach(message)
         elif tag in self._readers:
-            self._take_event(message)
+            self._queue_event(message)
         else:
             print(f"skipped an unknown event {tag!r}", file=self._err)
 
-    def _take_list(self, message: Fields) -> None:
+    def _store_worker_list(self, message: Fields) -> None:
         """Store a worker list under its number, by which BackendsChanged messages refer to the list."""
         entries = cast("list[Fields]", required(message, "elements"))
-        self._lists[whole_number(message, "buffer")] = tuple(read_entry(entry) for entry in entries)
+        self._worker_lists[whole_number(message, "buffer")] = tuple(read_entry(entry) for entry in entries)
 
     def _launch(self, message: Fields) -> None:
         """Create an instance."""
         instance_number = whole_number(message, "i")
         self._instances[instance_number] = Instance(message)
-        self._addressed[instance_number] = None
+        self._instances_in_batch[instance_number] = None
 
     def _detach(self, message: Fields) -> None:
         """Remove an instance."""
         instance_number, _ = self._find_instance(message)
         del self._instances[instance_number]
-        self._addressed.pop(instance_number, None)
+        self._instances_in_batch.pop(instance_number, None)
 
-    def _take_event(self, message: Fields) -> None:
+    def _queue_event(self, message: Fields) -> None:
         """Decode an event and queue it for its instance."""
         instance_number, instance = self._find_instance(message)
         event = self._readers[message["t"]](instance, message)
-        self._addressed[instance_number] = None
+        self._instances_in_batch[instance_number] = None
         if event is not None:
             instance.pending.append(event)
 
@@ -349,14 +349,14 @@
         if kind is ListKind.LOST:
             return WorkersListed(kind)
         list_number = whole_number(fields, "buffer")
-        if list_number not in self._lists:
+        if list_number not in self._worker_lists:
             raise WireError(f"BackendsChanged: field buffer: no Ledger message contained list {list_number}")
-        return WorkersListed(kind, self._lists[list_number], whole_number(fields, "rev", 0))
+        return WorkersListed(kind, self._worker_lists[list_number], whole_number(fields, "rev", 0))
 
     def _reply(self, now: int, batch: int) -> None:
         """Run the dispatchers of this batch, and write their actions and the end-of-reply message."""
         lines: list[str] = []
-        for instance_number in self._addressed:
+        for instance_number in self._instances_in_batch:
             instance = self._instances[instance_number]
             events, instance.pending = instance.pending, []
             try:
--- a/canvasbeam/dispatch/language_model/zone_liveness.py
+++ b/canvasbeam/dispatch/language_model/zone_liveness.py
@@ -17,8 +17,8 @@
         self._own_zone = own_zone
         self._workers = workers
         self._first_token_at: dict[str, int] = {}  # time of the last first token, by zone
-        self._unresponsive: dict[str, bool] = {}  # result by zone, computed at the time `_found_at`
-        self._found_at = 0
+        self._unresponsive: dict[str, bool] = {}  # result by zone, computed at the time `_computed_at`
+        self._computed_at = 0
 
     def note_first_token(self, now: int, zone: str) -> None:
         """Record a first token from a worker of a zone."""
@@ -28,8 +28,8 @@
         """Return True if a first token from another zone is overdue and the zone sent none since; cached per `now`."""
         if zone == self._own_zone:
             return False
-        if now != self._found_at:
-            self._found_at = now
+        if now != self._computed_at:
+            self._computed_at = now
             self._unresponsive.clear()
         if zone not in self._unresponsive:
             first_token_at = self._first_token_at.get(zone, 0)
--- a/canvasbeam/dispatch/late_starts.py
+++ b/canvasbeam/dispatch/late_starts.py
@@ -82,10 +82,10 @@
         """Record a start in time: it ends a row of late starts and may be the quickest start seen."""
         worker = attempt.worker
         worker.late_starts = 0
-        took = now - attempt.sent_at
-        worker.quickest_start_ns = min(worker.quickest_start_ns, inf if attempt.on_new_connection else took)
+        elapsed_ns = now - attempt.sent_at
+        worker.quickest_start_ns = min(worker.quickest_start_ns, inf if attempt.on_new_connection else elapsed_ns)
         group = (worker.zone, attempt.on_new_connection)
-        self._quickest_in_zone_ns[group] = min(self._quickest_in_zone_ns.get(group, inf), took)
+        self._quickest_in_zone_ns[group] = min(self._quickest_in_zone_ns.get(group, inf), elapsed_ns)
         worker.max_started_load = max(worker.max_started_load, attempt.load)
 
     def learn_late_start(self, attempt: TrackedAttempt, now: int) -> None:
--- a/canvasbeam/dispatch/outlier_ejection.py
+++ b/canvasbeam/dispatch/outlier_ejection.py
@@ -102,8 +102,8 @@
         if worker.errors or now >= self._recent_errors_until:
             return not worker.errors
         arrived = request.first_arrived_at
-        waits = now < arrived + (self._estimates.in_time_until(request) - arrived) // 2
-        return not waits or worker.last_served >= now - TRUST_AFTER_SUCCESS_NS
+        must_wait = now < arrived + (self._estimates.latest_send_within_target(request) - arrived) // 2
+        return not must_wait or worker.last_served >= now - TRUST_AFTER_SUCCESS_NS
 
     # --- ejection and return
 
@@ -124,7 +124,7 @@
             return MAX_EJECTION_CONNECT_TIMEOUTS
         return max(MAX_EJECTION_CONNECT_TIMEOUTS, self._settings.dispatchers // DISPATCHERS_PER_EJECTION_TIMEOUT)
 
-    def end_if_due(self, worker: TrackedWorker) -> None:
+    def end_ejection_if_due(self, worker: TrackedWorker) -> None:
         """Start a health check of a worker whose ejection time has passed, or a trial if checks are not permitted."""
         if self._current.now < worker.ejected_until or worker.is_checking_health:
             return
--- a/canvasbeam/dispatch/queue_estimates.py
+++ b/canvasbeam/dispatch/queue_estimates.py
@@ -40,7 +40,7 @@
         self._weights_are_live = settings.weights is Weights.LIVE
         # The other dispatchers of the zone have the same information, so each is assumed to send one request along with
         # each request of this dispatcher to the same worker.
-        self._dispatchers_alike = max(1.0, settings.dispatchers / len(settings.zones))
+        self._dispatchers_per_zone = max(1.0, settings.dispatchers / len(settings.zones))
         self._highest_weights: dict[str, float] = {}  # weight of an idle worker, by kind of worker
         self._most_free_slots: dict[str, float] = {}  # most free slots reported, by kind of worker
 
@@ -62,8 +62,8 @@
 
     def count_sent(self, worker: TrackedWorker, slots: float, now: int) -> None:
         """Add an own attempt to a worker's load, and one of each other dispatcher that has the same information."""
-        added = self._dispatchers_alike * slots / self._most_free_slots.get(worker.kind, DEFAULT_SLOTS)
-        worker.fleet_load = self.held_for_each_slot(worker, now) + added
+        added_load = self._dispatchers_per_zone * slots / self._most_free_slots.get(worker.kind, DEFAULT_SLOTS)
+        worker.fleet_load = self.held_for_each_slot(worker, now) + added_load
         worker.fleet_load_at = now
 
     def preempted(self, worker: TrackedWorker, now: int) -> None:
@@ -77,9 +77,9 @@
         The load above one request per slot shrinks linearly, and the rest exponentially.
         """
         rate = 1.0 if worker.zone == self._own_zone else OTHER_ZONES_SERVICE_RATE
-        ended = rate * (now - worker.fleet_load_at) / self._estimates.mean_of_kind_ns(worker.kind)
-        ended_in_queue = min(ended, max(0.0, worker.fleet_load - 1))
-        return (worker.fleet_load - ended_in_queue) * exp(ended_in_queue - ended)
+        completed = rate * (now - worker.fleet_load_at) / self._estimates.mean_of_kind_ns(worker.kind)
+        completed_in_queue = min(completed, max(0.0, worker.fleet_load - 1))
+        return (worker.fleet_load - completed_in_queue) * exp(completed_in_queue - completed)
 
     def is_saturated(self, worker: TrackedWorker, request: TrackedRequest, now: int) -> bool:
         """Return True if other dispatchers' requests saturate a worker, for a request that waited as long as this one.
@@ -90,9 +90,9 @@
         is_in_own_zone = worker.zone == self._own_zone
         if request.open_attempts():  # moving a request to another zone would gain too little
             return not is_in_own_zone or self.held_for_each_slot(worker, now) >= SATURATION_LOAD
-        bearable = SATURATION_LOAD if is_in_own_zone else OTHER_ZONES_SATURATION_LOAD
+        max_load = SATURATION_LOAD if is_in_own_zone else OTHER_ZONES_SATURATION_LOAD
         if request.request_class.priority > 0:
-            bearable -= HIGH_PRIORITY_LOAD
-        can_wait = self._estimates.in_time_until(request) - request.first_arrived_at
-        waited_fraction = (now - request.first_arrived_at) / max(1, can_wait)
-        return self.held_for_each_slot(worker, now) >= bearable + LOAD_ADDED_BY_WAIT * waited_fraction
+            max_load -= HIGH_PRIORITY_LOAD
+        max_wait = self._estimates.latest_send_within_target(request) - request.first_arrived_at
+        waited_fraction = (now - request.first_arrived_at) / max(1, max_wait)
+        return self.held_for_each_slot(worker, now) >= max_load + LOAD_ADDED_BY_WAIT * waited_fraction
--- a/canvasbeam/dispatch/request_sweep.py
+++ b/canvasbeam/dispatch/request_sweep.py
@@ -84,7 +84,7 @@
                 self._queue.rank_last(request)
             if request.attempts or not request.rank.is_late:
                 self._timers.schedule(request, self._timers.next_pending_sweep())
-        elif not request.possibly_executed() and now >= self._estimates.in_time_until(request):
+        elif not request.possibly_executed() and now >= self._estimates.latest_send_within_target(request):
             self._requests.reject_or_fail(request)
         else:
             self._timers.schedule(request, self._timers.next_pending_sweep())
@@ -109,7 +109,7 @@
         if self._is_worthless_in_queue(attempt, now):
             self._requests.reject_or_fail(request)
             return
-        if self._stays(attempt, now):
+        if self._should_stay(attempt, now):
             self._timers.schedule(request, self._next_check(attempt, now))
             return
         self._timers.schedule(request, self._timers.next_pending_sweep())
@@ -122,10 +122,10 @@
             self._fleet.lacks_queue_signal
             and attempt.is_queued_late()
             and not request.request_class.late_value
-            and now >= self._estimates.in_time_until(request)
+            and now >= self._estimates.latest_send_within_target(request)
         )
 
-    def _stays(self, attempt: TrackedAttempt, now: int) -> bool:
+    def _should_stay(self, attempt: TrackedAttempt, now: int) -> bool:
         """Return True if an attempt should stay at its worker."""
         return (
             attempt.counts_as_load
--- a/canvasbeam/dispatch/service_estimates.py
+++ b/canvasbeam/dispatch/service_estimates.py
@@ -24,21 +24,21 @@
         # (mean, weight), keyed by (), (class,), ("", kind of worker) and (class, kind of worker).
         self._means: dict[tuple[str, ...], tuple[float, float]] = {}
         self._kinds_differ = settings.batches
-        self._unknown_ns = _shortest_latency_target_ns(settings.classes)
+        self._default_ns = _shortest_latency_target_ns(settings.classes)
 
     def change_classes(self, classes: Sequence[RequestClass]) -> None:
         """Replace the classes; learned means of the old classes are kept."""
-        self._unknown_ns = _shortest_latency_target_ns(classes)
+        self._default_ns = _shortest_latency_target_ns(classes)
 
-    def learn(self, class_name: str, kind: str, took_ns: float) -> None:
+    def learn(self, class_name: str, kind: str, service_time_ns: float) -> None:
         """Learn the service time of a request: nanoseconds from its start on the worker to its end."""
         for name in ((), (class_name,), ("", kind), (class_name, kind)):
-            self._means[name] = _running_mean(self._means.get(name), took_ns)
+            self._means[name] = _running_mean(self._means.get(name), service_time_ns)
 
     def mean_ns(self) -> float:
         """Return the mean service time over all requests."""
         known = self._means.get(())
-        return known[0] if known else self._unknown_ns
+        return known[0] if known else self._default_ns
 
     def mean_of_kind_ns(self, kind: str) -> float:
         """Return the mean service time on this kind of worker; without observations there, the mean of all."""
@@ -62,7 +62,7 @@
         known = self._means.get((request_class.name,))
         return known[0] if known else float(request_class.latency_target_ns)
 
-    def in_time_until(self, request: TrackedRequest) -> int:
+    def latest_send_within_target(self, request: TrackedRequest) -> int:
         """Return the latest send time at which a request with an average service time meets its latency target."""
         request_class = request.request_class
         stretch = max(0.0, request_class.stretch - 1)
--- a/canvasbeam/dispatch/slow_start.py
+++ b/canvasbeam/dispatch/slow_start.py
@@ -49,7 +49,7 @@
         """Discard the values computed in the previous pass."""
         self._slots_of_kind.clear()
 
-    def share(self, worker: TrackedWorker, now: int) -> float:
+    def capacity_fraction(self, worker: TrackedWorker, now: int) -> float:
         """Return the minimum fraction (0 to 1) of its capacity that a worker has, growing linearly during warm-up."""
         rules = self._settings.rules
         if worker.started_at <= 0 or rules.warm_up_ns <= 0:
@@ -59,7 +59,7 @@
 
     def count_work(self, worker: TrackedWorker, request: TrackedRequest, now: int) -> None:
         """Count the work of a request that is sent to a worker, if the worker is warming up."""
-        if self.share(worker, now) < 1:
+        if self.capacity_fraction(worker, now) < 1:
             worker.recent.append((now, self._work(worker, request)))
 
     def allows(self, worker: TrackedWorker, request: TrackedRequest, now: int) -> bool:
@@ -67,8 +67,8 @@
 
         Work that was sent and that the worker rejected is counted too.
         """
-        share = self.share(worker, now)
-        if share >= 1:
+        capacity_fraction = self.capacity_fraction(worker, now)
+        if capacity_fraction >= 1:
             worker.recent.clear()
             return True
         work = self._work(worker, request)
@@ -77,13 +77,13 @@
         self._forget_before_window(worker, now)
         parts = self._parts_of(worker)
         part = SAFETY_FACTOR * self._complete_budget(worker, now) / parts
-        if share * part < work <= share * part * parts:
-            return self._has_turn(worker, work, share * part, now)
-        wanted = sum(sent_work for _, sent_work in worker.recent) + work
-        if wanted > share * part:
+        if capacity_fraction * part < work <= capacity_fraction * part * parts:
+            return self._has_turn(worker, work, capacity_fraction * part, now)
+        total_work = sum(sent_work for _, sent_work in worker.recent) + work
+        if total_work > capacity_fraction * part:
             worker.rejected_work = work
-            worker.capacity_at = self._capacity_at(worker, wanted / part, now)
-        return wanted <= share * part
+            worker.capacity_at = self._capacity_at(worker, total_work / part, now)
+        return total_work <= capacity_fraction * part
 
     def _work(self, worker: TrackedWorker, request: TrackedRequest) -> float:
         """Return the work of a request at a worker, in nanoseconds times slots."""
@@ -106,12 +106,12 @@
         In a large fleet equal parts would leave three of four parts unused, those of other zones' dispatchers, and a
         zone that returns after an outage would send its requests to other zones until its workers have warmed up.
         """
-        everybody, zones = self._settings.dispatchers, len(self._settings.zones)
+        all_dispatchers, zones = self._settings.dispatchers, len(self._settings.zones)
         if not self._fleet.is_large or zones < 2:
-            return everybody
+            return all_dispatchers
         if worker.zone == self._settings.own_zone:
-            return everybody / zones / OWN_ZONE_FRACTION
-        return (everybody - everybody / zones) / (1 - OWN_ZONE_FRACTION)
+            return all_dispatchers / zones / OWN_ZONE_FRACTION
+        return (all_dispatchers - all_dispatchers / zones) / (1 - OWN_ZONE_FRACTION)
 
     def _has_turn(self, worker: TrackedWorker, work: float, part: float, now: int) -> bool:
         """Return True if it is this dispatcher's turn to send a worker one request that exceeds a dispatcher's part.
@@ -131,13 +131,13 @@
         worker.capacity_at = span_begin + (spans_until_turn or groups) * span_ns
         return False
 
-    def _capacity_at(self, worker: TrackedWorker, share: float, now: int) -> int:
-        """Return when a worker may have capacity: once warmed up to `share`, or its oldest work is out of the window.
+    def _capacity_at(self, worker: TrackedWorker, capacity_fraction: float, now: int) -> int:
+        """Return when a worker may have capacity: warm up to `capacity_fraction`, or its oldest work out of the window.
 
         With many workers warming up, testing each worker again at every sweep would cost too much CPU time.
         """
         rules = self._settings.rules
-        age = (share - rules.initial_share) / (1 - rules.initial_share) if share < 1 else 1.0
+        age = (capacity_fraction - rules.initial_share) / (1 - rules.initial_share) if capacity_fraction < 1 else 1.0
         oldest = worker.recent[0][0] if worker.recent else now
         return min(worker.started_at + round(rules.warm_up_ns * age), oldest + rules.overload_window_ns)
 
@@ -146,12 +146,12 @@
         known = self._slots_of_kind.get(worker.kind)
         if known is not None:
             return known
-        seen = sorted(
+        started_loads = sorted(
             other.max_started_load
             for other in self._workers.values()
-            if other.kind == worker.kind and other.max_started_load and self.share(other, now) >= 1
+            if other.kind == worker.kind and other.max_started_load and self.capacity_fraction(other, now) >= 1
         )
-        least = self._queues.slots_reported(worker.kind, 1.0) if self._fleet.is_large else 1.0
-        slots = max(least, seen[len(seen) // 2] if seen else 1.0)
+        min_slots = self._queues.slots_reported(worker.kind, 1.0) if self._fleet.is_large else 1.0
+        slots = max(min_slots, started_loads[len(started_loads) // 2] if started_loads else 1.0)
         self._slots_of_kind[worker.kind] = slots
         return slots
--- a/canvasbeam/dispatch/sweep_timers.py
+++ b/canvasbeam/dispatch/sweep_timers.py
@@ -37,11 +37,11 @@
         self._current = current
         self.shortest_ns = SWEEP_QUANTA * settings.quantum_ns  # minimum interval between two sweeps
         self._pending_interval_ns = self._choose_pending_interval(settings.classes)
-        self._wake = inf  # time at which the next sweep is needed
-        self._armed = inf  # time of the earliest timer that was set for a sweep
+        self._next_sweep_at = inf  # time at which the next sweep is needed
+        self._armed_for = inf  # time of the earliest timer that was set for a sweep
         self._requests: list[tuple[float, int, TrackedRequest]] = []
         self._workers: list[tuple[float, int, TrackedWorker]] = []
-        self._pushed = 0  # entries pushed onto either heap so far: the tie-breaker between equal times
+        self._push_count = 0  # entries pushed onto either heap so far: the tie-breaker between equal times
 
     @property
     def now(self) -> int:
@@ -65,11 +65,11 @@
         """Schedule a check of a request or worker in the first sweep at or after `when`, unless scheduled earlier."""
         if when < tracked.check_at:
             tracked.check_at = when
-            self._pushed += 1
+            self._push_count += 1
             if isinstance(tracked, TrackedWorker):
-                heappush(self._workers, (when, self._pushed, tracked))
+                heappush(self._workers, (when, self._push_count, tracked))
             else:
-                heappush(self._requests, (when, self._pushed, tracked))
+                heappush(self._requests, (when, self._push_count, tracked))
             self.wake_by(when)
 
     def wake_by(self, when: float) -> None:
@@ -77,13 +77,13 @@
 
         Hundreds of dispatchers that each sweep every few quanta would cost too much CPU time.
         """
-        self._wake = min(self._wake, max(when, self._current.now + self.shortest_ns))
+        self._next_sweep_at = min(self._next_sweep_at, max(when, self._current.now + self.shortest_ns))
 
     def begin_sweep(self) -> bool:
         """Begin a sweep; return False without one if the timer fired before the time set last, so is outdated."""
-        if self._current.now < self._armed:
+        if self._current.now < self._armed_for:
             return False
-        self._wake = self._armed = inf
+        self._next_sweep_at = self._armed_for = inf
         return True
 
     def due_workers(self) -> list[TrackedWorker]:
@@ -107,18 +107,18 @@
         The time is a whole microsecond, because a caller whose clock counts microseconds may fire a timer a fraction of
         one early. `begin_sweep` would ignore that timer as an outdated one, and no sweep would ever run again.
         """
-        if not (self._wake < self._armed or self._armed <= self._current.now):
+        if not (self._next_sweep_at < self._armed_for or self._armed_for <= self._current.now):
             return None
-        when = ceil(self._wake / 1000) * 1000
-        self._wake = self._armed = when
+        when = ceil(self._next_sweep_at / 1000) * 1000
+        self._next_sweep_at = self._armed_for = when
         return when
 
     def _due(self, heap: list[tuple[float, int, _Tracked]]) -> list[_Tracked]:
         """Remove and return the requests or workers in a heap that are due; drop entries that were rescheduled."""
-        found = []
+        due = []
         while heap and (heap[0][0] <= self._current.now or heap[0][2].check_at != heap[0][0]):
             when, _, tracked = heappop(heap)
             if tracked.check_at == when:
                 tracked.check_at = inf
-                found.append(tracked)
-        return found
+                due.append(tracked)
+        return due
--- a/canvasbeam/dispatch/worker_acceptance.py
+++ b/canvasbeam/dispatch/worker_acceptance.py
@@ -78,4 +78,6 @@
         self, engines: EngineModel, worker: TrackedWorker, request: TrackedRequest, now: int
     ) -> bool:
         """Return True if a language-model worker is expected to start this request within its latency target."""
-        return engines.has_capacity(now, worker.entry, request.event, self._estimates.in_time_until(request) - now)
+        return engines.has_capacity(
+            now, worker.entry, request.event, self._estimates.latest_send_within_target(request) - now
+        )
--- a/canvasbeam/dispatch/worker_choice.py
+++ b/canvasbeam/dispatch/worker_choice.py
@@ -72,7 +72,7 @@
         if not self._fleet.is_large or not any(attempt.not_executed for attempt in request.attempts):
             return True
         since = now - RECENTLY_SEEN_SERVICE_TIMES * self._estimates.mean_ns()
-        return worker.last_seen >= since or now >= self._estimates.in_time_until(request)
+        return worker.last_seen >= since or now >= self._estimates.latest_send_within_target(request)
 
     def _choose_soonest_first_token(
         self, engines: EngineModel, workers: list[TrackedWorker], request: TrackedRequest, now: int
@@ -82,14 +82,14 @@
         Without the limit on the lead, all dispatchers would send requests that share a prefix to the same worker,
         whose prefix cache has that prefix.
         """
-        waits = [engines.first_token_ns(now, worker.entry, request.event) for worker in workers]
-        next_in_order = min(range(len(workers)), key=lambda place: workers[place].round_robin_lead)
-        least_lead = workers[next_in_order].round_robin_lead
+        latencies_ns = [engines.first_token_ns(now, worker.entry, request.event) for worker in workers]
+        next_in_order = min(range(len(workers)), key=lambda index: workers[index].round_robin_lead)
+        min_lead = workers[next_in_order].round_robin_lead
         allowed = [
-            place for place, worker in enumerate(workers) if worker.round_robin_lead + 1 - least_lead <= self._max_lead
+            index for index, worker in enumerate(workers) if worker.round_robin_lead + 1 - min_lead <= self._max_lead
         ]
-        soonest = min(allowed, key=lambda place: (waits[place], place), default=next_in_order)
-        is_sooner = waits[soonest] + FIRST_TOKEN_ADVANTAGE_NS <= waits[next_in_order]
+        soonest = min(allowed, key=lambda index: (latencies_ns[index], index), default=next_in_order)
+        is_sooner = latencies_ns[soonest] + FIRST_TOKEN_ADVANTAGE_NS <= latencies_ns[next_in_order]
         chosen = workers[soonest if is_sooner else next_in_order]
         self._advance_order(workers, chosen)
         return chosen
--- a/canvasbeam/dispatch/worker_sweep.py
+++ b/canvasbeam/dispatch/worker_sweep.py
@@ -43,7 +43,7 @@
         for attempt in tuple(worker.attempts):
             self._sweep_attempt(attempt, now)
         if worker.ejected_until:
-            self._ejection.end_if_due(worker)
+            self._ejection.end_ejection_if_due(worker)
         elif now >= self._timeouts.unresponsive_at(worker):
             self._eject_unresponsive(worker)
         if not worker.ejected_until:
@@ -72,11 +72,11 @@
         if attempt.started_at or attempt.is_late:
             return
         if now >= attempt.late_at:
-            self._take_late_start(attempt, now)
+            self._on_late_start(attempt, now)
         else:
             self._timers.schedule(worker, attempt.late_at)
 
-    def _take_late_start(self, attempt: TrackedAttempt, now: int) -> None:
+    def _on_late_start(self, attempt: TrackedAttempt, now: int) -> None:
         """Lower the limits of a worker with a late start, and schedule a check of the request."""
         worker = attempt.worker
         attempt.is_late = True
