--- a/canvasbeam/dispatch/fleet_limits.py
+++ b/canvasbeam/dispatch/fleet_limits.py
@@ -90,7 +90,10 @@
         self._total += 1
 
     def total(self, now: int, skipped_slices: int = 0) -> int:
-        """Return the number of events in the window that ends now, less those in its oldest `skipped_slices` slices."""
+        """Return the number of events in the window that ends now.
+
+        The oldest `skipped_slices` slices, which may lie partly outside the window, are not counted.
+        """
         oldest = (now - self._window_ns) // self._slice_ns
         while self._slices and self._slices[0][0] < oldest:
             self._total -= self._slices.popleft()[1]
--- a/canvasbeam/dispatch/outlier_ejection.py
+++ b/canvasbeam/dispatch/outlier_ejection.py
@@ -70,8 +70,8 @@
 
         A worker that fails fast is always available and would attract all requests. In a large fleet one error is
         enough: a failing worker seems the least loaded, and each dispatcher sends there too rarely to wait for more
-        errors. One error of an unsafe request is enough, because it loses that request; a rare error costs the worker
-        only a short ejection.
+        errors. One error of an unsafe request is enough, because each such error loses a request; a rare error costs
+        the worker only a short ejection.
         """
         self._recent_errors_until = self._current.now + RECENT_ERROR_WINDOW_NS
         worker.errors = min(worker.errors + 1, MAX_REMEMBERED_ERRORS)
--- a/canvasbeam/dispatch/slow_start.py
+++ b/canvasbeam/dispatch/slow_start.py
@@ -132,7 +132,7 @@
         return False
 
     def _capacity_at(self, worker: TrackedWorker, capacity_fraction: float, now: int) -> int:
-        """Return when a worker may have capacity: warm up to `capacity_fraction`, or its oldest work out of the window.
+        """Return when a worker may have capacity: at `capacity_fraction`, or once its oldest work is out of the window.
 
         With many workers warming up, testing each worker again at every sweep would cost too much CPU time.
         """
