--- a/canvasbeam/dispatch/concurrency_limits.py
+++ b/canvasbeam/dispatch/concurrency_limits.py
@@ -32,7 +32,7 @@
 
     @property
     def max_in_flight(self) -> float:
-        """Limit on attempts in flight above which no request gets its first open attempt; infinite until decreased."""
+        """Limit on all attempts in flight, applied to requests without an open attempt; infinite until decreased."""
         return self._max_in_flight
 
     # --- all attempts in flight
@@ -42,11 +42,11 @@
         return self._in_flight >= self._max_in_flight
 
     def on_attempt_added(self) -> None:
-        """Count an attempt that was started as in flight."""
+        """Add a started attempt to the count of attempts in flight."""
         self._in_flight += 1
 
     def on_attempt_removed(self) -> None:
-        """Stop counting an attempt that no longer occupies its worker as in flight."""
+        """Remove an attempt that no longer occupies its worker from the count of attempts in flight."""
         self._in_flight -= 1
 
     def grow_in_flight_limit(self) -> None:
@@ -81,7 +81,7 @@
             worker.limit_changed_at = 0
 
     def cut_to(self, worker: TrackedWorker, load: float, now: int) -> None:
-        """Lower a worker's limit to `load` slots; double its backoff if the limit was no higher, else reset it."""
+        """Lower a worker's limit to `load` slots; double the backoff if the limit was already as low, else reset it."""
         limit = max(1.0, load)
         is_cut_again = worker.concurrency_limit <= limit
         worker.concurrency_limit = limit
--- a/canvasbeam/dispatch/language_model/prefill_queue.py
+++ b/canvasbeam/dispatch/language_model/prefill_queue.py
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self._pending: deque[PendingPrefill] = deque()  # prompts in the order of their attempts
         self._drained_at = 0
-        self._unexpected_delay_ns = 0.0  # at the time `_delay_at`; decays
+        self._unexpected_delay_ns = 0.0  # backlog from unexpected delay at the time `_delay_at`; decays
         self._delay_at = 0
 
     def add(self, request_id: str, prefill_ns: float) -> None:
--- a/canvasbeam/dispatch/language_model/worker_model.py
+++ b/canvasbeam/dispatch/language_model/worker_model.py
@@ -39,7 +39,7 @@
     first_token_at: int = 0  # time of the last first token
     output_at: int = 0  # time of the last first token or stream event
     timeout_reported_at: int = 0  # time of this scheduler's last report that the worker is unresponsive
-    unresponsive_until: int = 0  # time until which other schedulers' reports are valid
+    unresponsive_until: int = 0  # time until which other schedulers' timeout reports are valid
     attempts: dict[str, ModelAttempt] = field(default_factory=dict)
     prefill_queue: PrefillQueue = field(default_factory=PrefillQueue)
     prefix_cache: PrefixCache = field(default_factory=PrefixCache)
--- a/canvasbeam/dispatch/language_model/zone_liveness.py
+++ b/canvasbeam/dispatch/language_model/zone_liveness.py
@@ -17,7 +17,7 @@
         self._own_zone = own_zone
         self._workers = workers
         self._first_token_at: dict[str, int] = {}  # time of the last first token, by zone
-        self._unresponsive: dict[str, bool] = {}  # result by zone, computed at the time `_computed_at`
+        self._unresponsive: dict[str, bool] = {}  # by zone; True = unresponsive at the time `_computed_at`
         self._computed_at = 0
 
     def note_first_token(self, now: int, zone: str) -> None:
--- a/canvasbeam/dispatch/worker_choice.py
+++ b/canvasbeam/dispatch/worker_choice.py
@@ -1,4 +1,4 @@
-"""Choose the worker for a request: the next in round-robin order that accepts the request, from the best ring with one.
+"""Choose the worker for a request: the next in round-robin order, from the best priority ring, that accepts it.
 
 For language-model requests, the worker with the soonest expected first token may go before its position in that order.
 
