--- a/bench/ablate.py
+++ b/bench/ablate.py
@@ -135,7 +135,7 @@
 
 
 def _same_capacity(self: Any, worker: Any, request: Any, now: int) -> bool:
-    return bool(self.held_for_each_slot(worker, now) >= queue_estimates.SATURATION_LOAD)
+    return bool(self.load_per_slot(worker, now) >= queue_estimates.SATURATION_LOAD)
 
 
 def _no_hint(self: Any, request: Any, worker: Any = None) -> float:
--- a/canvasbeam/dispatch/queue_estimates.py
+++ b/canvasbeam/dispatch/queue_estimates.py
@@ -63,15 +63,15 @@
     def count_sent(self, worker: TrackedWorker, slots: float, now: int) -> None:
         """Add an own attempt to a worker's load, and one of each other dispatcher that has the same information."""
         added_load = self._dispatchers_per_zone * slots / self._most_free_slots.get(worker.kind, DEFAULT_SLOTS)
-        worker.fleet_load = self.held_for_each_slot(worker, now) + added_load
+        worker.fleet_load = self.load_per_slot(worker, now) + added_load
         worker.fleet_load_at = now
 
     def preempted(self, worker: TrackedWorker, now: int) -> None:
         """Record that a request of this dispatcher was preempted, which shows that the worker is full."""
-        worker.fleet_load = max(1.0, self.held_for_each_slot(worker, now))
+        worker.fleet_load = max(1.0, self.load_per_slot(worker, now))
         worker.fleet_load_at = now
 
-    def held_for_each_slot(self, worker: TrackedWorker, now: int) -> float:
+    def load_per_slot(self, worker: TrackedWorker, now: int) -> float:
         """Return a worker's estimated requests per slot, assuming that no dispatcher sent more since the last update.
 
         The load above one request per slot shrinks linearly, and the rest exponentially.
@@ -89,10 +89,10 @@
         """
         is_in_own_zone = worker.zone == self._own_zone
         if request.open_attempts():  # moving a request to another zone would gain too little
-            return not is_in_own_zone or self.held_for_each_slot(worker, now) >= SATURATION_LOAD
+            return not is_in_own_zone or self.load_per_slot(worker, now) >= SATURATION_LOAD
         max_load = SATURATION_LOAD if is_in_own_zone else OTHER_ZONES_SATURATION_LOAD
         if request.request_class.priority > 0:
             max_load -= HIGH_PRIORITY_LOAD
         max_wait = self._estimates.latest_send_within_target(request) - request.first_arrived_at
         waited_fraction = (now - request.first_arrived_at) / max(1, max_wait)
-        return self.held_for_each_slot(worker, now) >= max_load + LOAD_ADDED_BY_WAIT * waited_fraction
+        return self.load_per_slot(worker, now) >= max_load + LOAD_ADDED_BY_WAIT * waited_fraction
