--- a/canvasbeam/dispatch/attempt_outcomes.py
+++ b/canvasbeam/dispatch/attempt_outcomes.py
@@ -75,7 +75,7 @@
             case Outcome.CONNECT_FAILED:
                 self._ejection.eject(worker, "no connection")
             case Outcome.RESET if self._may_be_preempted(request):
-                self._queues.preempted(worker, self._current.now)
+                self._queues.learn_preemption(worker, self._current.now)
             case Outcome.RESET:
                 # A worker that kills its own requests has no capacity for more requests.
                 self._ejection.eject(worker, "request lost")
--- a/canvasbeam/dispatch/queue_estimates.py
+++ b/canvasbeam/dispatch/queue_estimates.py
@@ -66,7 +66,7 @@
         worker.fleet_load = self.load_per_slot(worker, now) + added_load
         worker.fleet_load_at = now
 
-    def preempted(self, worker: TrackedWorker, now: int) -> None:
+    def learn_preemption(self, worker: TrackedWorker, now: int) -> None:
         """Record that a request of this dispatcher was preempted, which shows that the worker is full."""
         worker.fleet_load = max(1.0, self.load_per_slot(worker, now))
         worker.fleet_load_at = now
