--- a/canvasbeam/dispatch/parts.py
+++ b/canvasbeam/dispatch/parts.py
@@ -51,7 +51,7 @@
         )
         # Time from the answer to a request to its deadline, in nanoseconds: an answer closer to the deadline could race
         # with the timeout.
-        self.answer_margin_ns = self.timers.shortest_ns + settings.quantum_ns
+        self.answer_margin_ns = self.timers.min_interval_ns + settings.quantum_ns
         self.endpoints = EndpointSet(settings, seed, self.fleet)
         self._make_estimates(settings)
         self._make_limits(settings, fleet_limits)
@@ -63,12 +63,12 @@
         """Create the placement cache, and the parts that estimate queues, start latency and response timeouts."""
         self.cache = PlacementCache()
         self.queues = QueueEstimates(settings, self.estimates)
-        self.late_starts = LateStarts(settings, self.estimates, self.fleet, self.timers.shortest_ns)
+        self.late_starts = LateStarts(settings, self.estimates, self.fleet, self.timers.min_interval_ns)
         self.timeouts = ResponseTimeouts(settings, self.estimates, self.fleet)
 
     def _make_limits(self, settings: Settings, fleet_limits: FleetLimiter | None) -> None:
         """Create the parts that limit attempts: retries, quotas, concurrency, slow start, ejection."""
-        self.retries = RetryPolicy(settings.limits, self.timers.shortest_ns, fleet_limits)
+        self.retries = RetryPolicy(settings.limits, self.timers.min_interval_ns, fleet_limits)
         self.quotas = TenantQuotas(settings.tenants, settings.dispatchers)
         self.limits = ConcurrencyLimits(self.estimates)
         self.slow_start = SlowStart(settings, self.estimates, self.queues, self.endpoints.workers, self.fleet)
--- a/canvasbeam/dispatch/sweep_timers.py
+++ b/canvasbeam/dispatch/sweep_timers.py
@@ -35,7 +35,7 @@
 
     def __init__(self, settings: Settings, current: CurrentPass) -> None:
         self._current = current
-        self.shortest_ns = SWEEP_QUANTA * settings.quantum_ns  # minimum interval between two sweeps
+        self.min_interval_ns = SWEEP_QUANTA * settings.quantum_ns  # minimum interval between two sweeps
         self._pending_interval_ns = self._choose_pending_interval(settings.classes)
         self._next_sweep_at = inf  # time at which the next sweep is needed
         self._armed_for = inf  # time of the earliest timer that was set for a sweep
@@ -55,7 +55,7 @@
     def _choose_pending_interval(self, classes: Sequence[RequestClass]) -> int:
         """Return the interval, in nanoseconds, between sweeps while requests are pending."""
         shortest = min((known.latency_target_ns for known in classes), default=SECOND)
-        return max(self.shortest_ns, shortest // PENDING_SWEEPS_PER_LATENCY_TARGET)
+        return max(self.min_interval_ns, shortest // PENDING_SWEEPS_PER_LATENCY_TARGET)
 
     def next_pending_sweep(self) -> int:
         """Return the time at which pending requests are checked next."""
@@ -77,7 +77,7 @@
 
         Hundreds of dispatchers that each sweep every few quanta would cost too much CPU time.
         """
-        self._next_sweep_at = min(self._next_sweep_at, max(when, self._current.now + self.shortest_ns))
+        self._next_sweep_at = min(self._next_sweep_at, max(when, self._current.now + self.min_interval_ns))
 
     def begin_sweep(self) -> bool:
         """Begin a sweep; return False without one if the timer fired before the time set last, so is outdated."""
