--- a/canvasbeam/dispatch/dispatcher.py
+++ b/canvasbeam/dispatch/dispatcher.py
@@ -281,7 +281,7 @@
         """Set the sweep timer where a sweep is due earlier than the timer that is already set."""
         timers = self._parts.timers
         if self._parts.queue:
-            timers.wake_by(timers.next_pending_sweep())
+            timers.schedule_sweep_by(timers.next_pending_sweep())
         when = timers.rearm()
         if when is not None:
             self._parts.current.actions.append(SetTimer(SWEEP_TIMER, when))
--- a/canvasbeam/dispatch/sweep_timers.py
+++ b/canvasbeam/dispatch/sweep_timers.py
@@ -70,9 +70,9 @@
                 heappush(self._workers, (when, self._push_count, tracked))
             else:
                 heappush(self._requests, (when, self._push_count, tracked))
-            self.wake_by(when)
+            self.schedule_sweep_by(when)
 
-    def wake_by(self, when: float) -> None:
+    def schedule_sweep_by(self, when: float) -> None:
         """Schedule a sweep at `when` at the latest, but not before the minimum interval has passed.
 
         Hundreds of dispatchers that each sweep every few quanta would cost too much CPU time.
@@ -97,9 +97,9 @@
     def end_sweep(self) -> None:
         """Schedule the next sweep for the earliest check time in either heap."""
         if self._workers:
-            self.wake_by(self._workers[0][0])
+            self.schedule_sweep_by(self._workers[0][0])
         if self._requests:
-            self.wake_by(self._requests[0][0])
+            self.schedule_sweep_by(self._requests[0][0])
 
     def rearm(self) -> int | None:
         """Return the time of a timer that must be set, or None if the timer already set is early enough.
