--- a/canvasbeam/dispatch/attempt_outcomes.py
+++ b/canvasbeam/dispatch/attempt_outcomes.py
@@ -57,7 +57,7 @@
             self._late_starts.learn_late_start(attempt, now)
         else:
             self._limits.grow_in_flight_limit()
-            self._late_starts.learn_prompt_start(attempt, now)
+            self._late_starts.learn_start_in_time(attempt, now)
             self._limits.raise_to(attempt)
 
     def learn_end(self, attempt: TrackedAttempt, outcome: Outcome, report: Mapping[str, float] | None) -> None:
--- a/canvasbeam/dispatch/late_starts.py
+++ b/canvasbeam/dispatch/late_starts.py
@@ -78,7 +78,7 @@
 
     # --- starts
 
-    def learn_prompt_start(self, attempt: TrackedAttempt, now: int) -> None:
+    def learn_start_in_time(self, attempt: TrackedAttempt, now: int) -> None:
         """Record a start in time: it ends a row of late starts and may be the quickest start seen."""
         worker = attempt.worker
         worker.late_starts = 0
