--- a/canvasbeam/dispatch/slow_start.py
+++ b/canvasbeam/dispatch/slow_start.py
@@ -3,8 +3,8 @@
 All dispatchers together could overload a worker that has just started. Each dispatcher therefore sends at most its part
 of the work that the worker can do in any time window; work is expected service time times slots.
 
-Owns each worker's `recent`, `rejected_work` and `capacity_at`. It must never read a clock; all times are nanoseconds on
-the clock of the events.
+Owns each worker's `warm_up_sends`, `rejected_work` and `capacity_at`. It must never read a clock; all times are
+nanoseconds on the clock of the events.
 """
 
 from __future__ import annotations
