--- a/tests/dispatch/test_attempts.py
+++ b/tests/dispatch/test_attempts.py
@@ -1,4 +1,4 @@
-"""The life of an attempt: what each outcome leads to, by the effect of the class."""
+"""Tests of the retry, rejection or failure that follows an attempt, by its outcome and the effect of its class."""
 
 from __future__ import annotations
 
@@ -158,7 +158,8 @@
 
 
 def test_late_jobs_that_still_earn_step_back_behind_those_in_time() -> None:
-    # Danger: under overload the order by least time left serves every job on the edge of its aim.
+    # With a queue ordered by the least time left alone, under overload every request starts only when its latency
+    # target is about to pass.
     earns = RequestClass("look", 200 * MS, 5 * SECOND, stretch=2.0, late_value=0.3)
     bench = Bench(classes=(earns,))
     bench.job()
@@ -171,12 +172,14 @@
     bench = Bench()
     bench.job("look")
     bench.pass_time(SECOND)
-    bench.job("look", due=4 * SECOND)  # the client has waited a second already
+    # The deadline is 1 s earlier than the class's, because the client first sent this request 1 s ago.
+    bench.job("look", due=4 * SECOND)
     assert [action.request_id for action in of(bench.pass_time(20 * MS), RejectRequest)] == ["j1"]
 
 
 def test_a_job_with_less_time_left_than_a_sweep_is_answered_at_once() -> None:
-    # Danger: its worker is busy or slow, and the sweep that would answer for it comes too late.
+    # The request is rejected at once: its worker may be busy or slow, and the next sweep, which could reject the
+    # request, runs only after the deadline.
     bench = Bench(entry("a"))
     bench.job()
     given = bench.job(due=5 * MS)
@@ -185,7 +188,7 @@
 
 
 def order_of_held(**changes: Any) -> list[str]:
-    """Return who goes next where a large request, a small one and a small one of more value wait for one worker."""
+    """Return the ids of a large, a small and a more valuable small request in the order of their sends."""
     look = RequestClass("look", 200 * MS, 5 * SECOND, stretch=2.0)
     dear = RequestClass("dear", 200 * MS, 5 * SECOND, value=2.0, stretch=2.0)
     bench = Bench(entry("a"), classes=(look, dear), **changes)
@@ -194,7 +197,7 @@
     bench.job("dear")
     bench.started("j1", "a")
     bench.pass_time(400 * MS)
-    bench.job()  # the cap: it does not start in time
+    bench.job()  # this request does not start in time, which lowers the worker's concurrency limit
     bench.pass_time(100 * MS)
     bench.job(service_hint_ns=900 * MS)
     bench.pass_time(MS)
@@ -220,6 +223,7 @@
 
 
 def test_where_worth_goes_by_work_a_class_of_long_jobs_is_not_worth_less_for_it() -> None:
-    # The dear class runs four times as long, and is worth twice as much: for each job, or for each second of work.
+    # Class "dear" has twice the value of "look", and its requests run four times as long. The value counts for each
+    # request, or with `value_by_work` for each second of work.
     assert order_of_held().index("j5") == 2
     assert order_of_held(value_by_work=True).index("j5") == 0
--- a/tests/dispatch/test_cold_fleet.py
+++ b/tests/dispatch/test_cold_fleet.py
@@ -1,7 +1,8 @@
-"""Cold workers under the sum of a fleet: many instances of the module on one list, and nothing said between them.
+"""Tests of slow start over a fleet: many dispatchers use one endpoint list and exchange no messages.
 
-With N the requests of mean work that the settings allow a cold worker within their window, by its share of its
-capacity then, the fleet's sum in any such window stays within N + 2 x root of N + 2.
+N is the number of requests of mean work that the settings allow a cold worker within one overload window, given the
+share of its capacity that the worker has reached. All dispatchers together send the worker at most N + 2 x sqrt(N) + 2
+requests in any such window.
 """
 
 from __future__ import annotations
@@ -38,11 +39,11 @@
 
 @dataclass
 class Fleet:
-    """A drawn fleet: who is there, how uneven its traffic is, and what its settings allow."""
+    """A randomly drawn fleet: its dispatchers and workers, the skew of its traffic, and its slow-start settings."""
 
     seed: int
-    kept: int = 0  # sends to cold workers, over the whole story
-    worst: float = 0.0
+    kept: int = 0  # requests sent to cold workers, over the whole run
+    worst: float = 0.0  # largest ratio of requests sent in a window to the bound N + 2 x sqrt(N) + 2
     sends: dict[str, deque[int]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -69,7 +70,7 @@
             START + draw.randrange(1500, 4000) * MS if draw.random() < restarts else 0 for _ in range(self.count)
         ]
         shares = [draw.paretovariate(1.2) for _ in range(self.count)]
-        # All together ask for more than there is, so that cold workers get all that they are let have.
+        # The offered load is 1.5 times the capacity of all workers, so cold workers get as much as slow start allows.
         offered = 1.5 * (self.warm + len(self.cold)) * self.slots * SECOND / self.work
         self.rates = [offered * share / sum(shares) for share in shares]
 
@@ -94,7 +95,7 @@
         return tuple(warm + (fresh if cold else []))
 
     def allowed(self, began: int, now: int) -> float:
-        """N: what the settings allow in the window that ends now."""
+        """Return N for a worker that started at `began` and the overload window that ends at `now`."""
         rules = self.rules
         share = min(1.0, rules.initial_share + (1 - rules.initial_share) * (now - began) / rules.warm_up_ns)
         return rules.overload_multiple * share * self.slots * rules.overload_window_ns / self.work
@@ -117,7 +118,7 @@
         told = [False] * self.count
         for worker in fleet:
             worker.handle(START, [WorkersListed(ListKind.WARM_COPY, self.entries(False), 1)])
-        # (when, order, dispatcher's number, its life, event)
+        # Pending events: (time, tie-breaker, number of the dispatcher, its restart count, event).
         coming: list[tuple[int, int, int, int, Any]] = []
         lives, made, order = [0] * self.count, 0, 0
         attempts: dict[str, int] = {}
@@ -172,7 +173,8 @@
 def test_the_sum_of_a_fleet_keeps_to_the_cold_budget_in_a_hundred_drawn_fleets() -> None:
     fleets = [played(seed) for seed in range(FLEETS)]
     worst = max(fleets, key=lambda each: each.worst)
-    assert sum(fleet.kept for fleet in fleets) > 10 * FLEETS  # it is not kept by sending nothing
+    # Guards against a trivial pass: the bound would also hold if cold workers received no requests.
+    assert sum(fleet.kept for fleet in fleets) > 10 * FLEETS
     assert worst.worst <= 1, (worst.seed, worst.worst)
 
 
--- a/tests/dispatch/test_drawn_deployments.py
+++ b/tests/dispatch/test_drawn_deployments.py
@@ -1,4 +1,4 @@
-"""Whole settings drawn at random: on each the rules hold, and a calm day is served."""
+"""Tests of randomly drawn deployments: each keeps the rules of `test_rules_property.py` and serves a light load."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 @st.composite
 def classes(draw: st.DrawFn, kinds: tuple[str, ...]) -> tuple[RequestClass, ...]:
-    """One to four classes of jobs that last 60 ms."""
+    """Draw one to four request classes; their requests run for 60 ms."""
     return tuple(
         RequestClass(
             f"c{place}",
@@ -75,7 +75,7 @@
 
 @st.composite
 def deployments(draw: st.DrawFn) -> Deployment:
-    """All that settings can say, and a fleet of which every zone and kind has some."""
+    """Draw settings over their whole range, and a fleet with workers of every kind in every zone."""
     zones = ZONES[: draw(st.integers(1, 4))]
     kinds = KINDS[: draw(st.integers(0, 2))]
     dispatchers = draw(st.integers(1, 40))
@@ -111,7 +111,7 @@
     return told, fleet
 
 
-# What fails is seen to fail by its settings; to shrink it takes minutes.
+# The shrinking phase is left out: it takes minutes, and the settings of a failing example already show the cause.
 PROFILE = profile(
     max_examples=60, deadline=None, derandomize=True, database=None, phases=(Phase.explicit, Phase.generate)
 )  # fmt: skip
@@ -139,7 +139,7 @@
 
 
 class CalmDay:
-    """One dispatcher and honest workers of two slots each, at a third of what they can do."""
+    """Simulates one dispatcher and fault-free workers of two slots each, loaded to a third of their capacity."""
 
     WORK = 60 * MS
     SLOTS = 2
@@ -157,8 +157,8 @@
         self.took: dict[str, int] = {}
         self.refused: set[str] = set()
         self.give(WorkersListed(ListKind.COMPLETE, fleet, 1))
-        # Some classes run on one kind only; each kind has its part of the jobs at most. A crowd's dispatcher is sent
-        # its own part: it reckons with the others'.
+        # Some classes run on one kind of worker only, so the load is a third of one kind's capacity. In a large fleet
+        # this dispatcher gets only its own share of the load, because it allows for the requests of the others.
         rate = 0.33 * len(fleet) * self.SLOTS / max(1, len(told.kinds)) / (self.WORK / SECOND)
         crowd = told.dispatchers if is_crowd(told, fleet) else 1
         rate /= crowd
@@ -219,7 +219,10 @@
 
 
 def check_calm(told: Settings, fleet: tuple[WorkerEntry, ...], seed: int) -> None:
-    """Every job served; nine in ten in time, where starts are told: nothing else tells a queue from a long job."""
+    """Check that every request is served, and nine in ten in time where starts are reported.
+
+    Without reported starts the dispatcher cannot tell a queued request from a long one.
+    """
     day = CalmDay(told, fleet, seed)
     day.play()
     assert not day.refused
@@ -234,13 +237,16 @@
     check_calm(*drawn, seed)
 
 
-# --- the program over sockets ---------------------------------------------------------------------
+# --- the scheduler over sockets -------------------------------------------------------------------
 
 
 @profile(max_examples=25, deadline=None, derandomize=True, database=None, phases=(Phase.explicit, Phase.generate))
 @given(deployments(), st.integers(1, 3))
 def test_a_calm_moment_is_served_over_sockets_on_every_deployment(drawn: Deployment, targets: int) -> None:
-    """The program as the settings size it: each class's job has its worker's result, and the planned end loses none."""
+    """Guards against lost requests in the complete scheduler, whose buffers are sized by the settings.
+
+    Each client gets the result of its own request, and a planned shutdown loses no request.
+    """
     told = replace(
         drawn[0], kinds=(), classes=tuple(replace(request_class, kind=None) for request_class in drawn[0].classes)
     )
@@ -262,7 +268,8 @@
     clients = []
     for number, request_class in enumerate(told.classes * 2):
         if number == len(told.classes):
-            world.listener.drain()  # the second half comes in the planned end, which no class has outlived yet
+            # The second half of the requests arrives during the planned shutdown, before the deadline of any class.
+            world.listener.drain()
         client = world.client(
             job(request_class.name, call_id=f"c{number}", budget=f"{request_class.deadline_ns / SECOND:.3f}")
         )
@@ -276,7 +283,8 @@
         status = client.got.split()[1]
         assert status == b"200" or (status == b"503" and number >= len(told.classes))
         assert status == b"503" or client.got.endswith(f"r-c{number}".encode())
-    assert world.coordinator.decisions.dispatcher is dispatcher  # no exception in the decisions
+    # An exception in the dispatcher would have replaced the dispatcher by a new one.
+    assert world.coordinator.decisions.dispatcher is dispatcher
     for each_peer in clients:
         each_peer.close()
     world.loop.close()
--- a/tests/dispatch/test_fleet_limits.py
+++ b/tests/dispatch/test_fleet_limits.py
@@ -1,4 +1,4 @@
-"""The limits on the sum over all schedulers hold, whatever each of them does with its share."""
+"""Tests that all schedulers together keep the limits on retries and on cold workers, however each uses its share."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def fleet(count: int) -> list[FleetLimits]:
-    """Schedulers that have settled and know of each other."""
+    """Return schedulers that have passed the settling time and know all members of the fleet."""
     made = [FleetLimits(name, RETRY, COLD) for name in members(count)]
     for item in made:
         item.services(START, {KIND: WarmUpRate(RATE)})
@@ -45,13 +45,13 @@
 
 
 def is_warming_up(scheduler: FleetLimits, now: int) -> bool:
-    """Return whether a scheduler takes the worker to warm up."""
+    """Return True if the scheduler takes worker "w" to be warming up."""
     state = scheduler._workers.get("w")
     return state is not None and now < state.warming_until
 
 
 def most_in_window(times: Iterable[int], window_ns: int) -> int:
-    """The most events in any span of this length."""
+    """Return the largest number of events in any window of this length."""
     ordered = sorted(times)
     most = first = 0
     for last, when in enumerate(ordered):
@@ -62,7 +62,7 @@
 
 
 def flood_cold_worker(schedulers: list[FleetLimits], seed: int, cold_at: int, changes: int = 0) -> list[int]:
-    """All schedulers send whenever they may; the times of the sends while the worker is cold."""
+    """Let all schedulers send whenever they may; return the times of sends to the cold worker, in nanoseconds."""
     chance = random.Random(seed)
     until = cold_at + 4 * SECOND
     asks = sorted(
@@ -113,7 +113,7 @@
 
 
 def test_a_scheduler_that_dies_is_counted_until_it_can_no_longer_be_sending() -> None:
-    """Danger: both sides of a cut would each divide the whole among themselves."""
+    """Guards against a network partition in which each side divides the whole limit among its own schedulers."""
     left, right = fleet(6), fleet(6)
     sides = [left[number] if number % 2 else right[number] for number in range(6)]
     for number, side in enumerate(sides):
@@ -172,11 +172,14 @@
     assert only.may_send_while_warming_up(START, "w")
 
 
-# --- repeats ----------------------------------------------------------------------------------
+# --- retries ----------------------------------------------------------------------------------
 
 
 def flood_repeats(schedulers: list[FleetLimits], seed: int) -> tuple[list[int], list[int]]:
-    """Requests at rates that change; every scheduler repeats whenever it may. The times of requests and repeats."""
+    """Send requests at changing rates, with every scheduler retrying whenever it may.
+
+    Return the times of the requests and of the retries, in nanoseconds.
+    """
     chance = random.Random(seed)
     requests: list[int] = []
     repeats: list[int] = []
@@ -196,7 +199,7 @@
 
 
 def permitted(requests: list[int], end: int) -> float:
-    """What the rule permits in the window that ends here."""
+    """Return the number of retries that the limit permits in the window that ends at `end`."""
     window = RETRY.window_ns
     counts = [
         sum(end - window - back < request <= end - back for request in requests) for back in (0, window // 2, window)
@@ -205,7 +208,7 @@
 
 
 def worst_excess(requests: list[int], repeats: list[int]) -> float:
-    """By how much the repeats of some window exceed what is permitted there, or a negative number."""
+    """Return the largest excess of a window's retries over the permitted number, negative if there is none."""
     return max(
         (
             sum(end - RETRY.window_ns < repeat <= end for repeat in repeats) - permitted(requests, end)
--- a/tests/dispatch/test_health.py
+++ b/tests/dispatch/test_health.py
@@ -1,4 +1,4 @@
-"""Busy, dead and cold workers, each failure found with the test that answers it."""
+"""Tests of placement with saturated, failed and cold workers; most guard against a failure that was found."""
 
 from __future__ import annotations
 
@@ -43,16 +43,18 @@
     bench.pass_time(MS)
     bench.started("j1", "a")
     bench.job()
-    bench.pass_time(20 * MS)  # j2 does not start: full with one of ours
+    bench.pass_time(20 * MS)  # j2 does not start, so the worker counts as full with one request
     bench.ended("j1", "a")
     bench.started("j2", "a")
     assert of(bench.job(), StartAttempt) == []
     assert of(bench.pass_time(50 * MS), StartAttempt) == []
-    assert len(of(bench.pass_time(200 * MS), StartAttempt)) == 1  # a mean job later it is tried one higher
+    # After one mean service time the concurrency limit is raised by one on trial.
+    assert len(of(bench.pass_time(200 * MS), StartAttempt)) == 1
 
 
 def test_full_with_nothing_of_ours_there_is_not_asked_again_at_once() -> None:
-    # Regression: a full worker with none of our jobs would be open again the same instant, for ever.
+    # Regression: a worker that answered FULL, with no attempt of this dispatcher in flight, became available again at
+    # the same instant, in an endless loop.
     bench = Bench(entry("a"))
     bench.job()
     assert of(bench.ended("j0", "a", Outcome.FULL), StartAttempt) == []
@@ -60,8 +62,9 @@
 
 
 def test_a_fast_failing_worker_does_not_attract_the_work() -> None:
-    # Regression: a worker that answers errors at once is always open and would draw every job.
-    # A job that must not be repeated is lost by each error: one is enough. Others are tried again.
+    # Regression: a worker that returns errors at once is always available and receives every request. For an unsafe
+    # request, which must not be repeated, one error ejects the worker, because each error loses a request. Requests of
+    # other classes are retried.
     bench = Bench(entry("a"), entry("b"))
     errors = 0
     for number in range(20):
@@ -76,7 +79,7 @@
 
 
 def retried(bench: Bench) -> bool:
-    """One job that can be repeated; where worker a gets it, it fails there and is done elsewhere. Whether a got it."""
+    """Run one safe request, which fails at worker "a" and is then retried at "b"; return True if it failed."""
     name = f"j{bench.made}"
     worker, attempt = only(bench.job(), StartAttempt).worker, 0
     bench.started(name, worker)
@@ -94,7 +97,7 @@
 
 
 def test_a_worker_back_from_its_rest_is_rested_again_at_its_next_error() -> None:
-    # Regression: back from each short rest it had three more errors to make.
+    # Regression: after each short ejection the worker was ejected again only after three more errors.
     bench = Bench(entry("a"), entry("b"))
     assert sum(retried(bench) for _ in range(20)) == 3
     for _ in range(2):
@@ -126,11 +129,11 @@
             probes += 1
             bench.give(HealthCheckEnded("a", Outcome.TIMED_OUT))
         bench.job()
-    assert 20 <= probes <= 30  # 100, 200, then every 400 ms
+    assert 20 <= probes <= 30  # health checks run after 100 ms, 200 ms, and then every 400 ms
 
 
 def test_a_silent_worker_loses_its_running_job_to_another() -> None:
-    # Regression: a worker that was cut off ends no attempt; only its progress notes stop.
+    # Regression: a worker behind a network partition ends no attempt; only its progress events stop.
     bench = Bench(entry("a"), entry("b"))
     worker = only(bench.job(due=20 * SECOND), StartAttempt).worker
     bench.started("j0", worker)
@@ -147,7 +150,10 @@
 
 
 def test_a_job_that_never_starts_is_sent_again_and_keeps_nobody_from_its_worker() -> None:
-    """Regression: its connection fell silent under way; the start that never came shut the worker out."""
+    """Regression: a connection stalled before the start was reported.
+
+    The missing start then kept the worker unavailable for other requests.
+    """
     bench = Bench(entry("a"), entry("b"))
     bench.job("pay", due=60 * SECOND)
     other = only(bench.last, StartAttempt).worker
@@ -160,7 +166,7 @@
     bench.ended("j1", worker, Outcome.CANCELLED)
     bench.started("j1", other, attempt=1)
     bench.ended("j1", other, attempt=1)
-    # One that may not be repeated is left out there, but its worker is heard of and gets more.
+    # An unsafe request stays in flight, but other activity of its worker makes the worker available again.
     bench.job("pay", due=60 * SECOND)
     lost = only(bench.last, StartAttempt).worker
     bench.pass_time(100 * MS)
@@ -171,7 +177,8 @@
 
 
 def test_room_is_left_where_others_queue_too() -> None:
-    # Regression: many dispatchers, each keeping one job queued at a worker, outlast every aim together.
+    # Regression: many dispatchers each kept one request queued at a worker; together these requests waited longer than
+    # every latency target.
     for dispatchers, waits in ((20, True), (2, False)):
         bench = Bench(entry("a"), dispatchers=dispatchers)
         bench.run_job()
@@ -189,12 +196,13 @@
     bench.job(due=60 * SECOND)
     bench.ended("j0", "a", Outcome.CONNECT_FAILED)
     given = bench.listed(entry("a", started_ns=bench.now))
-    assert of(given, StartAttempt) == []  # a fifth of a worker, shared by eight: no room for this job yet
+    # A fifth of a worker's capacity shared by eight dispatchers: too little for this request yet.
+    assert of(given, StartAttempt) == []
     assert of(given, WriteLog) != []
 
 
 def test_a_cold_worker_gets_no_more_than_its_share_in_any_window() -> None:
-    # Regression: all dispatchers together push over a worker that has just started.
+    # Regression: all dispatchers together overloaded a worker that had just started.
     work, dispatchers = 50 * MS, 3
     hinted = Bench(entry("a", started_ns=START), dispatchers=dispatchers)
     sent: list[int] = []
@@ -213,7 +221,7 @@
 
 
 class CountingSlowStart(SlowStart):
-    """Counts how often it works out the budget of a worker that warms up."""
+    """Counts the computations of slow-start budgets."""
 
     budgets = 0
 
@@ -223,7 +231,7 @@
 
 
 class CountingAcceptance(WorkerAcceptance):
-    """Counts how often it tests a worker for a request."""
+    """Counts the tests whether a worker is available or accepts a request."""
 
     tests = availability_tests = 0
 
@@ -237,7 +245,7 @@
 
 
 def count_tests(dispatcher: Dispatcher) -> tuple[CountingAcceptance, CountingSlowStart]:
-    """Have a dispatcher count its tests of workers and the budgets that it works out."""
+    """Make a dispatcher count its tests of workers and its computations of slow-start budgets."""
     parts = parts_of(dispatcher)
     plant(parts.acceptance, CountingAcceptance)
     plant(parts.slow_start, CountingSlowStart)
@@ -245,7 +253,8 @@
 
 
 def test_many_cold_workers_are_not_asked_again_for_every_held_job_and_sweep() -> None:
-    # Regression: a fleet that grows by a hundred workers took more time than there was, and all came late.
+    # Regression: after a fleet grew by 100 workers the dispatcher needed more CPU time than it had, so that all answers
+    # were late.
     workers, jobs = 100, 40
     cold = [entry(f"w{number}", started_ns=START) for number in range(workers)]
     bench = Bench(dispatchers=12)
@@ -257,17 +266,18 @@
         bench.job()
     acceptance.tests = slow_start.budgets = 0
     bench.give()
-    assert acceptance.tests <= workers  # once for all jobs of a kind
+    assert acceptance.tests <= workers  # each worker is tested once for all requests of a kind
     slow_start.budgets = 0
     bench.pass_time(150 * MS)
-    assert slow_start.budgets <= workers  # nothing changed but the time: once for all sweeps
+    assert slow_start.budgets <= workers  # only time has passed, so each budget is computed once for all sweeps
 
 
 def test_a_cold_worker_without_room_takes_a_job_when_its_share_has_grown() -> None:
-    # Regression: not asked again, it would stay closed for good.
+    # Regression: a cold worker whose rejection is cached and never tested again would stay unavailable for good.
     patient = replace(SAFE, late_value=0.5, deadline_ns=60 * SECOND)
     bench = Bench(entry("a", started_ns=START), classes=(patient,))
-    assert of(bench.job(service_hint_ns=1500 * MS, due=60 * SECOND), StartAttempt) == []  # over .7 x .2 x 3 x 2 s
+    # 1.5 s of work exceeds the budget: safety factor 0.7 x initial share 0.2 x overload multiple 3 x window 2 s.
+    assert of(bench.job(service_hint_ns=1500 * MS, due=60 * SECOND), StartAttempt) == []
     share = 1500 * MS / (0.7 * 3.0 * 2 * SECOND)
     grown = round((share - 0.2) / 0.8 * 10 * SECOND)
     assert of(bench.pass_time(grown - 30 * MS), StartAttempt) == []
@@ -282,7 +292,8 @@
 
 
 def test_lost_answers_do_not_keep_a_healed_worker_busy() -> None:
-    # Regression: after a cut the answers of what ran there never come; the worker must not wait for them.
+    # Regression: after a network partition the answers of requests that ran at the worker never arrive, and the worker
+    # counted as busy with these requests.
     bench = Bench(entry("a"))
     bench.job("pay", due=60 * SECOND)
     bench.started("j0", "a")
@@ -293,7 +304,7 @@
 
 
 def test_no_sweep_is_asked_for_while_nothing_can_be_due() -> None:
-    # Regression: hundreds of dispatchers that each look every few quanta take more CPU time than there is.
+    # Regression: hundreds of dispatchers that each sweep every few quanta need more CPU time than the machines have.
     bench = Bench(entry("a"))
     (sent,) = of(bench.job(), StartAttempt)
     bench.give(AttemptStarted(sent.request_id, 0, sent.worker))
@@ -303,23 +314,26 @@
 
 
 def test_cold_workers_are_sent_to_in_turns_where_an_equal_part_holds_no_job() -> None:
-    # Regression: among hundreds of dispatchers each part is less than one job, and a returning zone stays unused.
+    # Regression: with hundreds of dispatchers each equal share of the budget is less than one request, so a zone
+    # that returned after an outage received no requests.
     dispatchers, sends = 200, 0
     for number in range(dispatchers):
         bench = Bench(entry("a", started_ns=START), dispatchers=dispatchers, own_number=number)
         bench.job(service_hint_ns=100 * MS)
         sends += bool(of(bench.last, StartAttempt)) + len(of(bench.pass_time(2 * SECOND), StartAttempt))
-    budget = 3.0 * 0.36 * 2 * SECOND  # multiple x share at the window's end x one slot x window
+    # Overload multiple x share of capacity at the window's end x window, for a worker of one slot.
+    budget = 3.0 * 0.36 * 2 * SECOND
     assert 0 < sends * 100 * MS <= budget
 
 
 def crowd(*workers: WorkerEntry) -> Bench:
-    """A dispatcher among twenty, without load reports, where two may not be out at once."""
+    """Return one dispatcher of twenty, without load reports, where a request may have only one attempt in flight."""
     return Bench(*workers, dispatchers=20, limits=replace(LIMITS, second_copies=False))
 
 
 def test_a_late_start_costs_a_worker_its_next_turn_among_a_crowd() -> None:
-    # Regression: met rarely, slow workers get as many jobs as quick ones, and drown.
+    # Regression: a dispatcher that rarely sends to a slow worker does not learn its limit, so slow workers get as many
+    # requests as fast ones and are overloaded.
     bench = crowd(entry("a"), entry("b"))
     for _ in range(2):
         bench.run_job()
@@ -330,12 +344,13 @@
     bench.ended("j2", late)
     bench.pass_time(5 * SECOND)
     bench.run_job()
-    assert bench.run_job() != late  # the worker's turn, lost
+    assert bench.run_job() != late  # the late worker is skipped for one round
     assert late in {bench.run_job(), bench.run_job()}
 
 
 def test_a_waiting_keyed_job_moves_among_a_crowd_while_queues_are_short() -> None:
-    # Regression: moved while cancels leave work behind, every job fills several queues, and all collapse.
+    # Regression: where a cancelled attempt still occupies its queue, moving every request fills several queues for each
+    # request, and all workers are overloaded.
     bench = crowd(*(entry(f"w{number}") for number in range(6)))
     bench.run_job()
     bench.job("book")
@@ -352,7 +367,8 @@
 
 
 def test_what_nobody_took_is_offered_only_where_something_changed() -> None:
-    # Regression: with a hundred workers asked again at every event, a grown deployment was cut off for its CPU.
+    # Regression: after a deployment grew to 100 workers, testing all of them again at every event exceeded its CPU
+    # allowance, and the deployment was cut off.
     bench = Bench(*(entry(f"w{number}") for number in range(20)))
     bench.dispatcher = Dispatcher(settings(), 1)
     acceptance, _ = count_tests(bench.dispatcher)
@@ -368,12 +384,15 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.BROKEN, Outcome.UNSENT])
 def test_one_broken_connection_rests_nobody_and_two_without_a_sign_of_work_do(outcome: Outcome) -> None:
-    """Regression: jobs are killed and connections break on healthy workers; a rest for each shut those out."""
+    """Regression: every broken connection ejected its worker.
+
+    Requests are killed and connections break also at healthy workers, which then became unavailable.
+    """
     bench = Bench(entry("a"), limits=replace(LIMITS, max_attempts=9))
     sent = [action.worker for action in of(bench.job(due=60 * SECOND), StartAttempt)]
     again = of(bench.ended("j0", "a", outcome), StartAttempt)
     assert [repeat.worker for repeat in again] == sent == ["a"]
-    bench.give(AttemptStarted("j0", 1, "a"))  # a sign of work between two breaks
+    bench.give(AttemptStarted("j0", 1, "a"))  # activity of the worker between two broken connections
     assert of(bench.ended("j0", "a", outcome, attempt=1), StartAttempt) != []
     assert of(bench.ended("j0", "a", outcome, attempt=2), StartAttempt) == []
     assert of(bench.last, WriteLog) != []
@@ -390,7 +409,7 @@
 
 
 def test_a_job_whose_notes_stop_is_sent_again_and_is_no_load_while_its_worker_is_well() -> None:
-    """Regression: an answer's connection may fall silent under one job; counted on, it keeps a slot for ever."""
+    """Regression: a request whose connection had stalled still counted as load, and so occupied a slot for ever."""
     bench = Bench(entry("a"), entry("b"))
     worker = only(bench.job(due=4 * SECOND), StartAttempt).worker
     bench.started("j0", worker)
@@ -410,7 +429,11 @@
 
 
 def test_sweeps_are_asked_for_at_whole_microseconds() -> None:
-    """Guards the sweeps: a clock of microseconds fired a timer a part of one early, and it was passed over."""
+    """Guards against skipped sweeps.
+
+    A clock of whole microseconds fired a timer up to a microsecond early, and the dispatcher ignored the timer as not
+    yet due.
+    """
     bench = Bench(entry("a"))
     given: list[Action] = []
     for step in range(40):
--- a/tests/dispatch/test_language_model_expectations.py
+++ b/tests/dispatch/test_language_model_expectations.py
@@ -1,4 +1,4 @@
-"""What is expected of model workers, from one scheduler's own sends."""
+"""Tests of the latencies and cache contents that one scheduler expects of language-model workers."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def room_behind(expectations: EngineExpectations, entry: WorkerEntry, now: int, tokens: int, aim: int) -> bool:
-    """Whether there is room for half of these tokens behind a prompt with the other half."""
+    """Return True if the worker has capacity for half of the tokens after a queued prompt with the other half."""
     expectations.sent(now, entry, job("before", tokens // 2))
     return expectations.has_capacity(now, entry, job("j", tokens - tokens // 2), aim)
 
@@ -191,7 +191,7 @@
 
 @pytest.mark.parametrize("pace", [PREFILL_NS_PER_TOKEN / 2, PREFILL_NS_PER_TOKEN * 3])
 def test_the_time_to_read_a_token_is_learned(pace: float) -> None:
-    """A worker of another speed: after some prompts the expected first token lies near the true one."""
+    """Guards the learned prefill time: after 40 prompts the expected TTFT is 0.8 to 1.25 times the true one."""
     expectations, now, chance = model(), NOW, random.Random(1)
     for number in range(40):
         tokens = chance.randrange(4000, 9000)
@@ -246,7 +246,7 @@
     assert not expectations.has_capacity(NOW + SECOND, AWAY, job("j", 100), AIM)
 
 
-# --- pauses and silence, seen here and told of by others ---------------------------------------------------------
+# --- event gaps and unresponsive workers, observed here and reported by other schedulers -------------------------
 
 
 def test_a_worker_whose_streams_pause_is_expected_to_begin_later_for_a_while() -> None:
@@ -280,7 +280,7 @@
 
 
 def silent_worker(expectations: EngineExpectations) -> tuple[int, list[str]]:
-    """A worker whose first token is long overdue; the moment, and the list of workers told of as silent."""
+    """Make a first token of "near" long overdue; return the present time and the workers reported unresponsive."""
     told: list[str] = []
     expectations.on_timeout = lambda entry: told.append(entry.worker)
     expectations.sent(NOW, NEAR, job("lost", 1000))
--- a/tests/dispatch/test_order_of_classes.py
+++ b/tests/dispatch/test_order_of_classes.py
@@ -1,4 +1,4 @@
-"""A more urgent class of a service is not served less often than a less urgent one, with more work than workers."""
+"""Tests that under overload a class of higher priority is not served less often than one of lower priority."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests.support.helpers import MS, SECOND
 
 SPAN = 30 * SECOND
-TOLERATED = 0.05  # of its requests a more urgent class may be served less
+TOLERATED = 0.05  # most by which a class's served share may lie below that of a class of lower priority
 SLOTS = 4
 SERVICE_MS = 300
 CAPACITY_PER_S = 2 * SLOTS * 1000 / SERVICE_MS
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """A kind of request: its class, the share of all requests, and the size of its prompts."""
+    """A kind of request: its class, its relative frequency, and the size of its prompts in tokens."""
 
     job_class: RequestClass
     share: float
@@ -46,7 +46,7 @@
 
 
 def served_shares(kinds: list[Kind], load: float, seed: int, priority_first: bool = True) -> dict[str, float]:
-    """The share of each class's requests that are served at this multiple of what the workers can do."""
+    """Return the served share of each class's requests, with `load` as a multiple of the workers' capacity."""
     system = System(
         worker("a", slots=SLOTS), worker("b", slots=SLOTS), classes=tuple(kind.job_class for kind in kinds),
         early_rejection_share=HOLD_SHARE, priority_first=priority_first,
@@ -103,7 +103,7 @@
 
 
 def test_without_its_order_a_class_with_a_shorter_aim_is_served_more_often() -> None:
-    """The planted fault: priorities are not looked at."""
+    """Shows that the priority test can fail: a dispatcher that ignores priorities serves the urgent class less."""
     kinds = [Kind(job_class("urgent", 0, 4000, 5000), 1), Kind(job_class("other", 2, 400, 5000), 1)]
     shares = served_shares(kinds, 3.0, seed=1, priority_first=False)
     assert shares["urgent"] < shares["other"] - TOLERATED
--- a/tests/dispatch/test_rings.py
+++ b/tests/dispatch/test_rings.py
@@ -1,4 +1,4 @@
-"""The ordinary path: rings by zone, even turns, a fall only when the better ring is full or down."""
+"""Tests of priority rings by zone: round-robin within a ring, failover only while the better ring is full or down."""
 
 from __future__ import annotations
 
--- a/tests/dispatch/test_rules_property.py
+++ b/tests/dispatch/test_rules_property.py
@@ -1,7 +1,12 @@
-"""The four rules on random legal event sequences, judged from the actions alone.
+"""Property tests of the dispatcher's four rules on random valid event sequences.
 
-The referee keeps its own books; it reads nothing of the dispatcher. That it can fail is shown on dispatchers
-broken on purpose.
+1. Each request has exactly one final answer, before its deadline.
+2. A request that may have run is sent again only as its class permits.
+3. Draining and gone workers receive no requests.
+4. No dispatcher sends a cold worker more than its share of the worker's budget.
+
+The checker judges the dispatcher's actions alone and reads none of its state. Dispatchers with planted faults show that
+the checker detects a violation of each rule.
 """
 
 from __future__ import annotations
@@ -70,7 +75,7 @@
 
 
 def is_crowd(told: Settings, fleet: Iterable[WorkerEntry]) -> bool:
-    """Whether a zone has so many dispatchers that each meets a worker too rarely to know it."""
+    """Return True if a zone has so many dispatchers that each uses a worker too rarely to learn its limits."""
     own = sum(worker.zone == told.own_zone for worker in fleet)
     return told.dispatchers / len(told.zones) >= max(
         LARGE_FLEET_MIN_DISPATCHERS, LARGE_FLEET_DISPATCHERS_PER_WORKER * own
@@ -107,14 +112,14 @@
 
 
 class Referee:
-    """Feeds one dispatcher random legal events and holds its actions against the rules."""
+    """Sends random valid events to one dispatcher and checks its actions against the rules."""
 
     def __init__(
         self, kind: type[Dispatcher], rng: random.Random, told: Settings,
         fleet: tuple[WorkerEntry, ...], rush: bool,
     ) -> None:  # fmt: skip
         self.rng, self.now = rng, START
-        self.rush = rush  # quick traffic and many restarts: the days on which cold workers are pushed over
+        self.rush = rush  # dense traffic and many restarts, which overload cold workers
         self.settings = told
         self.dispatcher = kind(told, 3)
         self.fleet = {worker.worker: worker for worker in fleet}
@@ -137,7 +142,7 @@
                 risky = any(sent.risky() for sent in job.sent)
                 free = job.cls.effect is Effect.SAFE
                 dropped = job.cls.effect is Effect.KEYED and job.cls.scope is Scope.ALL
-                rule(not risky or free or dropped, "2: refused though it may have run")
+                rule(not risky or free or dropped, "2: request rejected as safe to retry although it may have run")
                 self.end(job)
             case FailRequest(name):
                 self.end(self.jobs[name])
@@ -149,28 +154,28 @@
                 self.probes.append(worker)
 
     def end(self, job: Taken) -> None:
-        rule(not job.ended, "1: two final answers")
-        rule(self.now <= job.due + self.settings.rules.answer_slack_ns, "1: answered too late")
+        rule(not job.ended, "1: request has two final answers")
+        rule(self.now <= job.due + self.settings.rules.answer_slack_ns, "1: request answered after its deadline")
         job.ended = True
 
     def judge_send(self, action: StartAttempt) -> None:
         job, worker = self.jobs[action.request_id], self.fleet[action.worker]
-        rule(not job.ended, "1: sent after its end")
-        rule(worker.state is WorkerState.LIVE, "3: sent to a draining or gone worker")
-        rule(len(job.sent) < self.settings.limits.max_attempts, "too many attempts")
+        rule(not job.ended, "1: request sent after its final answer")
+        rule(worker.state is WorkerState.LIVE, "3: request sent to a draining or gone worker")
+        rule(len(job.sent) < self.settings.limits.max_attempts, "request has more attempts than the limits allow")
         out = [sent for sent in job.sent if sent.outcome is None]
-        rule(self.settings.limits.second_copies or not out, "2: a second copy where none is allowed")
+        rule(self.settings.limits.second_copies or not out, "2: request has two attempts in flight")
         risky = [sent for sent in job.sent if sent.risky()]
         if risky and job.cls.effect is not Effect.SAFE:
-            rule(job.cls.effect is Effect.KEYED, "2: unsafe sent again")
-            rule(self.now <= risky[0].at + job.cls.window_ns, "2: sent again past its window")
+            rule(job.cls.effect is Effect.KEYED, "2: unsafe request sent again although it may have run")
+            rule(self.now <= risky[0].at + job.cls.window_ns, "2: keyed request sent again after its retry window")
             for attempt in risky:
                 same = {
                     Scope.ALL: True,
                     Scope.ZONE: attempt.worker.zone == worker.zone,
                     Scope.CELL: attempt.worker.cell == worker.cell,
                 }
-                rule(same[job.cls.scope], "2: sent again outside its group")
+                rule(same[job.cls.scope], "2: keyed request sent again outside its group of workers")
         job.sent.append(Sent(worker, self.now))
         self.judge_cold(worker)
 
@@ -186,11 +191,16 @@
         work = WORK * sum(attempt.at >= begin for attempt in at_worker)
         share = rules.initial_share + (1 - rules.initial_share) * age / rules.warm_up_ns
         whole = rules.overload_multiple * share * self.most_at_once * rules.overload_window_ns
-        # Where a share is less than one job, schedulers take turns with one: never two in a window.
-        rule(work <= max(whole * self.part_of(worker), WORK), "4: more than its share of a cold worker")
+        # Where a share is less than one request, schedulers send one request each in turn: never two in a window.
+        rule(
+            work <= max(whole * self.part_of(worker), WORK), "4: cold worker received more than this scheduler's share"
+        )
 
     def part_of(self, worker: WorkerEntry) -> float:
-        """A scheduler's part of a cold worker's budget: equal, but a crowd's own zone has three quarters of it."""
+        """Return this scheduler's fraction of a cold worker's budget.
+
+        All schedulers have equal fractions, but in a large fleet the worker's own zone has 3/4 of the budget.
+        """
         told, zones = self.settings, len(self.settings.zones)
         if zones < 2 or not is_crowd(told, self.fleet.values()):
             return 1 / told.dispatchers
@@ -199,7 +209,7 @@
         return (1 - OWN_ZONE_FRACTION) / (told.dispatchers - told.dispatchers / zones)
 
     def step(self) -> None:
-        """One random legal event."""
+        """Send one random valid event, then let some time pass."""
         chance = self.rng.random()
         out = [
             (name, number, sent)
@@ -277,7 +287,7 @@
         self.now = end
         for job in self.jobs.values():
             late = self.now > job.due + self.settings.rules.answer_slack_ns
-            rule(job.ended or not late, "1: no answer in time")
+            rule(job.ended or not late, "1: request has no answer by its deadline")
 
 
 def play(kind: type[Dispatcher], seed: int, steps: int = 150) -> None:
@@ -294,7 +304,7 @@
 
 
 def watch(referee: Referee, steps: int) -> None:
-    """So many random events, and then time enough for every answer."""
+    """Send a number of random events, then let time pass until every deadline is over."""
     for _ in range(steps):
         referee.step()
     referee.pass_time(2 * SECOND + max(request_class.deadline_ns for request_class in referee.settings.classes))
@@ -309,9 +319,9 @@
 @pytest.mark.parametrize(
     ("kind", "broken"),
     [
-        (AnswersTwice, "1: two final answers"), (NeverGivesUp, "1: no answer in time"),
-        (RetriesAll, "2: "), (ForgetsGroups, "2: sent again outside"),
-        (ForgetsWindows, "2: sent again past"), (IgnoresDrains, "3: "), (IgnoresSlowStart, "4: "),
+        (AnswersTwice, "1: request has two final answers"), (NeverGivesUp, "1: request has no answer by its deadline"),
+        (RetriesAll, "2: "), (ForgetsGroups, "2: keyed request sent again outside"),
+        (ForgetsWindows, "2: keyed request sent again after"), (IgnoresDrains, "3: "), (IgnoresSlowStart, "4: "),
     ],
 )  # fmt: skip
 def test_the_referee_sees_each_rule_broken(kind: type[Dispatcher], broken: str) -> None:
--- a/tests/dispatch/test_service_times.py
+++ b/tests/dispatch/test_service_times.py
@@ -1,4 +1,4 @@
-"""Service times for each unit of work."""
+"""Tests of the service times expected for each unit of work."""
 
 from __future__ import annotations
 
--- a/tests/dispatch/test_settings.py
+++ b/tests/dispatch/test_settings.py
@@ -1,4 +1,4 @@
-"""Impossible settings get a ValueError that names the field."""
+"""Tests that settings out of range raise a ValueError that names the field."""
 
 from __future__ import annotations
 
--- a/tests/dispatch/test_system_placement.py
+++ b/tests/dispatch/test_system_placement.py
@@ -1,4 +1,7 @@
-"""Placement as the serving system sets it: classes that change, batches, early refusals, kept prompts, limits."""
+"""Tests of placement with the serving system's settings.
+
+Covers changes of classes, batching workers, early rejection, prefix caches, and the limits over all schedulers.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +43,7 @@
 
 
 class Limits:
-    """A fleet_limits that says what it is told to and notes what it hears."""
+    """A `FleetLimiter` with answers set by the test, which records the sends."""
 
     def __init__(self) -> None:
         self.repeats_permitted = True
@@ -72,7 +75,7 @@
 
 
 class System(TimedDriver):
-    """Drives one dispatcher with the system's settings."""
+    """Drives one dispatcher with the serving system's settings."""
 
     def __init__(
         self, *workers: WorkerEntry, classes: tuple[RequestClass, ...] = (CHAT, BRIEF, READ), **changes: Any
@@ -100,7 +103,7 @@
         return [action for action in actions if not isinstance(action, SetTimer | WriteLog)]
 
     def job(self, job_class: str = "chat", due: int = 5 * SECOND, **fields: Any) -> list[Action]:
-        """A job arrives, named j0, j1, ..."""
+        """Let a request arrive, with the next id of j0, j1, ...; return the actions."""
         fields.setdefault("prompt", prompt())
         name = f"j{self.made}"
         self.made += 1
@@ -179,7 +182,7 @@
     assert system.limits.sends[-1] == (other[0], False)
 
 
-# --- rings and turns --------------------------------------------------------------------------
+# --- rings and round-robin --------------------------------------------------------------------
 
 
 def test_turns_are_even_in_the_own_region_though_jobs_have_not_begun() -> None:
@@ -212,7 +215,7 @@
     assert sent_to(system.job("brief")) == ["a"]
 
 
-# --- holding and refusing ---------------------------------------------------------------------
+# --- pending requests and rejection -----------------------------------------------------------
 
 
 def test_a_job_without_any_worker_is_held_briefly_and_then_refused_with_advice() -> None:
@@ -245,7 +248,7 @@
     assert [action.request_id for action in system.ended("j0", "a") if isinstance(action, StartAttempt)] == ["j2"]
 
 
-# --- silence ----------------------------------------------------------------------------------
+# --- unresponsive workers ---------------------------------------------------------------------
 
 
 def test_a_worker_that_starts_nothing_and_says_nothing_is_rested_and_safe_jobs_move() -> None:
@@ -303,7 +306,7 @@
     assert [sent_to(system.job())[0] for _ in range(3)] == ["b", "b", "b"]
 
 
-# --- kept prompts -----------------------------------------------------------------------------
+# --- prefix caches ----------------------------------------------------------------------------
 
 SHARED = prompt(3000, ("shared", 2900), ("own", 100))
 
@@ -332,7 +335,10 @@
 
 
 def test_a_known_queue_weighs_against_a_part_that_is_kept() -> None:
-    """By kept parts alone all nodes send what shares a part to one worker: the herd of a cold start."""
+    """Guards against the thundering herd of a cold start.
+
+    Where only cached prefixes count, all nodes send the requests that share a prefix to one worker.
+    """
     system = System(worker("a"), worker("b"), max_round_robin_lead=4.0)
     first = sent_to(system.job(prompt=prompt(9000, ("common", 2500), ("own-1", 6500))))[0]
     system.opened("j0", first)
--- a/tests/dispatch/test_system_placement_property.py
+++ b/tests/dispatch/test_system_placement_property.py
@@ -1,4 +1,4 @@
-"""Whatever happens, placement as the serving system sets it keeps the rules of sends and answers."""
+"""Property tests: with the serving system's settings random events break no rule on sends and answers."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class RuleBrokenError(AssertionError):
-    """A send or an answer that the rules do not allow."""
+    """Raised for a send or an answer that the rules do not allow."""
 
 
 @dataclass
@@ -52,7 +52,7 @@
 
 @dataclass
 class Request:
-    """What the world outside of the dispatcher knows of a job."""
+    """A request as seen from outside of the dispatcher: its class, its sends, and the number of its answers."""
 
     job: RequestArrived
     job_class: RequestClass
@@ -64,7 +64,7 @@
 
 
 class World:
-    """Workers, clients and a carrier that obey the interface; every action is checked."""
+    """Simulates workers, clients and a transport that keep to the dispatcher's interface, and checks every action."""
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
@@ -83,13 +83,13 @@
         self.finish()
 
     def finish(self) -> None:
-        """Nothing more comes; every job gets its answer before its client gives up."""
+        """Let 20 s pass without new events; every request must then have its answer."""
         self.act(self.system.pass_time(20 * SECOND))
         for name, request in self.requests.items():
             if request.answers != 1 and not any(send.opened for send in request.sends):
-                raise RuleBrokenError(f"{name} has {request.answers} answers")
+                raise RuleBrokenError(f"request {name} has {request.answers} answers, expected 1")
 
-    # --- what happens -----------------------------------------------------------------------------
+    # --- events to the dispatcher -----------------------------------------------------------------
 
     def arrive(self) -> None:
         job_class = self.chance.choice(CLASSES)
@@ -160,7 +160,7 @@
     def wait(self) -> None:
         self.act(self.system.pass_time(self.chance.choice((1, 20, 300, 1500)) * MS))
 
-    # --- what the dispatcher does -----------------------------------------------------------------
+    # --- actions of the dispatcher ----------------------------------------------------------------
 
     def act(self, actions: list[Action]) -> None:
         for action in actions:
@@ -181,28 +181,28 @@
     def check_send(self, name: str, worker: str) -> None:
         request, entry = self.requests[name], self.entries[worker]
         if request.answers:
-            raise RuleBrokenError(f"{name} is sent after its answer")
+            raise RuleBrokenError(f"request {name} is sent after its answer")
         if entry.state is not WorkerState.LIVE or not entry.may_run(request.job_class, request.job):
-            raise RuleBrokenError(f"{name} is sent to a worker that may not run it")
+            raise RuleBrokenError(f"request {name} is sent to worker {worker}, which may not run it")
         if request.out():
-            raise RuleBrokenError(f"{name} is at two workers at once")
+            raise RuleBrokenError(f"request {name} has two attempts in flight")
         not_sent = (Outcome.CONNECT_FAILED, Outcome.UNSENT)
         counted = [send for send in request.sends if send.outcome not in not_sent]
         if len(counted) >= max(1, request.job_class.max_attempts):
-            raise RuleBrokenError(f"{name} is sent to too many workers")
+            raise RuleBrokenError(f"request {name} has more attempts than its class allows")
         may_have_run = [attempt for attempt in counted if attempt.outcome is not None and not attempt.outcome.never_ran]
         if request.job_class.effect is Effect.UNSAFE and may_have_run:
-            raise RuleBrokenError(f"{name} may run twice")
+            raise RuleBrokenError(f"unsafe request {name} is sent again although it may have run")
         if (counted or request.job.repeat) and not self.system.limits.repeats_permitted:
-            raise RuleBrokenError(f"{name} is repeated without budget")
+            raise RuleBrokenError(f"request {name} is retried without retry budget")
 
     def check_answer(self, name: str, promises: bool) -> None:
         request = self.requests[name]
         if request.answers:
-            raise RuleBrokenError(f"{name} is answered twice")
+            raise RuleBrokenError(f"request {name} is answered twice")
         may_have_run = any(send.outcome is None or not send.outcome.never_ran for send in request.sends)
         if promises and may_have_run and request.job_class.effect is not Effect.SAFE:
-            raise RuleBrokenError(f"{name} may have run and is refused")
+            raise RuleBrokenError(f"request {name} is rejected as safe to retry although it may have run")
 
 
 @settings(max_examples=150, deadline=None)
@@ -242,7 +242,7 @@
     def check(self: World, name: str, worker: str) -> None:
         request, entry = self.requests[name], self.entries[worker]
         if request.job_class.kind != entry.kind:
-            raise RuleBrokenError(f"{name} is sent to another kind of worker")
+            raise RuleBrokenError(f"request {name} is sent to a worker of another kind")
         real(self, name, worker)
 
     monkeypatch.setattr(World, "check_send", check)
