--- a/tests/dispatch/test_attempts.py
+++ b/tests/dispatch/test_attempts.py
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
 @pytest.mark.parametrize("job_class", ["look", "book", "pay"])
-def test_a_job_that_never_ran_tries_another_worker(outcome: Outcome, job_class: str) -> None:
+def test_request_that_never_ran_is_retried_at_another_worker(outcome: Outcome, job_class: str) -> None:
     bench = Bench(entry("a"), entry("b"))
     worker = sent_to(bench, job_class)
     again = only(bench.ended("j0", worker, outcome), StartAttempt)
@@ -40,14 +40,14 @@
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 @pytest.mark.parametrize("job_class", ["look", "book"])
-def test_safe_and_keyed_are_sent_again(outcome: Outcome, job_class: str) -> None:
+def test_safe_and_keyed_requests_that_may_have_run_are_retried(outcome: Outcome, job_class: str) -> None:
     bench = Bench(entry("a"), entry("b"))
     worker = sent_to(bench, job_class)
     assert only(bench.ended("j0", worker, outcome), StartAttempt).worker != worker
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
-def test_unsafe_that_may_have_run_fails_at_once(outcome: Outcome) -> None:
+def test_unsafe_request_that_may_have_run_fails_at_once(outcome: Outcome) -> None:
     bench = Bench(entry("a"), entry("b"))
     given = bench.ended("j0", sent_to(bench, "pay"), outcome)
     assert of(given, StartAttempt) == []
@@ -64,7 +64,7 @@
         (Scope.CELL, "here", 1, True),
     ],
 )
-def test_keyed_stays_in_its_group(scope: Scope, zone: str, cell: int, allowed: bool) -> None:
+def test_keyed_request_is_retried_only_within_its_scope(scope: Scope, zone: str, cell: int, allowed: bool) -> None:
     keyed = RequestClass("book", 200 * MS, 5 * SECOND, effect=Effect.KEYED, scope=scope, window_ns=3 * SECOND)
     bench = Bench(entry("a", cell=1), classes=(keyed,))
     sent_to(bench, "book")
@@ -72,7 +72,7 @@
     assert bool(of(bench.ended("j0", "a", Outcome.RESET), StartAttempt)) is allowed
 
 
-def test_keyed_is_not_sent_again_past_its_window_and_may_be_refused() -> None:
+def test_keyed_request_is_rejected_after_its_retry_window() -> None:
     bench = Bench(entry("a"), entry("b"))
     worker = sent_to(bench, "book")
     bench.started("j0", worker)
@@ -82,7 +82,7 @@
     assert only(given, RejectRequest).request_id == "j0"
 
 
-def test_keyed_in_a_zone_group_is_failed_not_refused() -> None:
+def test_keyed_request_of_zone_scope_fails_after_its_retry_window() -> None:
     keyed = RequestClass("book", 200 * MS, 5 * SECOND, effect=Effect.KEYED, scope=Scope.ZONE, window_ns=SECOND)
     bench = Bench(entry("a"), classes=(keyed,))
     worker = sent_to(bench, "book")
@@ -90,7 +90,7 @@
     assert of(bench.ended("j0", worker, Outcome.ERROR), FailRequest) == [FailRequest("j0")]
 
 
-def test_tries_are_capped() -> None:
+def test_request_is_rejected_after_its_last_attempt() -> None:
     bench = Bench(*(entry(name) for name in "abcdef"))
     worker = sent_to(bench, "look")
     for attempt in range(LIMITS.max_attempts - 1):
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("job_class", ["look", "book", "pay"])
-def test_no_worker_ever_known_still_answers_in_time(job_class: str) -> None:
+def test_request_is_rejected_in_time_if_no_worker_is_known(job_class: str) -> None:
     bench = Bench()
     bench.job(job_class)
     answers = of(bench.pass_time(5 * SECOND), RejectRequest)
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize(
     ("job_class", "kind"), [("look", RejectRequest), ("book", RejectRequest), ("pay", FailRequest)]
 )
-def test_everything_silent_still_answers_in_time(job_class: str, kind: type[Action]) -> None:
+def test_request_is_answered_in_time_if_its_worker_never_responds(job_class: str, kind: type[Action]) -> None:
     bench = Bench(entry("a"))
     bench.job(job_class)
     given = bench.pass_time(5 * SECOND - 1)
@@ -122,7 +122,7 @@
     assert not of(bench.pass_time(SECOND), StartAttempt)
 
 
-def test_late_and_repeated_news_is_ignored() -> None:
+def test_late_repeated_and_unknown_events_are_ignored() -> None:
     bench = Bench(entry("a"))
     bench.job()
     bench.started("j0", "a")
@@ -135,7 +135,7 @@
         assert of(bench.give(event), StartAttempt | RejectRequest | FailRequest) == []
 
 
-def test_a_client_that_left_is_owed_nothing() -> None:
+def test_disconnected_client_gets_no_retry_and_no_answer() -> None:
     bench = Bench(entry("a"))
     bench.job()
     assert of(bench.give(ClientDisconnected("j0")), CancelAttempt) == [CancelAttempt("j0", 0)]
@@ -143,7 +143,7 @@
     assert of(given, StartAttempt | RejectRequest | FailRequest) == []
 
 
-def test_a_begun_stream_has_no_deadline() -> None:
+def test_open_stream_has_no_deadline() -> None:
     stream = RequestClass("stream", 200 * MS, SECOND, streams=True)
     bench = Bench(entry("a"), entry("b"), classes=(stream,), progress_ns=0)
     worker = only(bench.job("stream", due=SECOND), StartAttempt).worker
@@ -151,24 +151,24 @@
     assert of(bench.pass_time(3 * SECOND), RejectRequest | FailRequest | CancelAttempt) == []
 
 
-def test_jobs_past_use_are_refused_where_late_earns_nothing() -> None:
+def test_late_request_is_rejected_where_a_late_answer_has_no_value() -> None:
     bench = Bench()
     bench.job("look", due=5 * SECOND)
     assert of(bench.pass_time(SECOND), RejectRequest) == [RejectRequest("j0", LIMITS.max_retry_advice_ns)]
 
 
-def test_late_jobs_that_still_earn_step_back_behind_those_in_time() -> None:
+def test_late_request_with_value_is_sent_after_requests_in_time() -> None:
     # With a queue ordered by the least time left alone, under overload every request starts only when its latency
     # target is about to pass.
-    earns = RequestClass("look", 200 * MS, 5 * SECOND, stretch=2.0, late_value=0.3)
-    bench = Bench(classes=(earns,))
+    valuable_when_late = RequestClass("look", 200 * MS, 5 * SECOND, stretch=2.0, late_value=0.3)
+    bench = Bench(classes=(valuable_when_late,))
     bench.job()
     bench.pass_time(400 * MS)
     bench.job()
     assert of(bench.listed(entry("a")), StartAttempt) == [StartAttempt("j1", "a")]
 
 
-def test_a_repeat_has_the_age_of_its_first_try() -> None:
+def test_client_retry_keeps_the_age_of_its_first_request() -> None:
     bench = Bench()
     bench.job("look")
     bench.pass_time(SECOND)
@@ -177,7 +177,7 @@
     assert [action.request_id for action in of(bench.pass_time(20 * MS), RejectRequest)] == ["j1"]
 
 
-def test_a_job_with_less_time_left_than_a_sweep_is_answered_at_once() -> None:
+def test_request_with_less_time_left_than_a_sweep_is_rejected_at_once() -> None:
     # The request is rejected at once: its worker may be busy or slow, and the next sweep, which could reject the
     # request, runs only after the deadline.
     bench = Bench(entry("a"))
@@ -187,11 +187,11 @@
     assert of(given, StartAttempt) == []
 
 
-def order_of_held(**changes: Any) -> list[str]:
+def order_of_pending_requests(**changes: Any) -> list[str]:
     """Return the ids of a large, a small and a more valuable small request in the order of their sends."""
     look = RequestClass("look", 200 * MS, 5 * SECOND, stretch=2.0)
-    dear = RequestClass("dear", 200 * MS, 5 * SECOND, value=2.0, stretch=2.0)
-    bench = Bench(entry("a"), classes=(look, dear), **changes)
+    valuable = RequestClass("dear", 200 * MS, 5 * SECOND, value=2.0, stretch=2.0)
+    bench = Bench(entry("a"), classes=(look, valuable), **changes)
     assert bench.run_job(span=100 * MS) == "a"
     bench.pass_time(SECOND)
     bench.job("dear")
@@ -205,25 +205,25 @@
     bench.pass_time(MS)
     bench.job("dear")
     order: list[str] = []
-    given = bench.ended("j1", "a") + bench.ended("j2", "a")
+    actions = bench.ended("j1", "a") + bench.ended("j2", "a")
     while len(order) < 3:
-        sent = of(given, StartAttempt)
+        sent = of(actions, StartAttempt)
         if sent:
             order.append(sent[0].request_id)
             bench.started(sent[0].request_id, sent[0].worker)
-            given = bench.ended(sent[0].request_id, sent[0].worker)
+            actions = bench.ended(sent[0].request_id, sent[0].worker)
         else:
-            given = bench.pass_time(10 * MS)
+            actions = bench.pass_time(10 * MS)
     return order
 
 
-def test_a_large_job_does_not_stand_behind_small_ones_that_came_later() -> None:
-    order = order_of_held()
+def test_large_request_is_sent_before_later_small_requests() -> None:
+    order = order_of_pending_requests()
     assert order.index("j3") < order.index("j4")
 
 
-def test_where_worth_goes_by_work_a_class_of_long_jobs_is_not_worth_less_for_it() -> None:
+def test_class_of_long_requests_is_not_ranked_lower_where_value_counts_by_work() -> None:
     # Class "dear" has twice the value of "look", and its requests run four times as long. The value counts for each
     # request, or with `value_by_work` for each second of work.
-    assert order_of_held().index("j5") == 2
-    assert order_of_held(value_by_work=True).index("j5") == 0
+    assert order_of_pending_requests().index("j5") == 2
+    assert order_of_pending_requests(value_by_work=True).index("j5") == 0
--- a/tests/dispatch/test_crowd.py
+++ b/tests/dispatch/test_crowd.py
@@ -26,27 +26,27 @@
 from tests.support.helpers import LIMITS, MS, SAFE, SECOND, START, Bench, entry, of, only, settings
 from tests.support.planted_faults import parts_of, tracked_request
 
-WEIGHED: dict[str, Any] = {"dispatchers": 40, "weights": Weights.LIVE, "report_fields": ("free_slots",)}
+LIVE_WEIGHTS: dict[str, Any] = {"dispatchers": 40, "weights": Weights.LIVE, "report_fields": ("free_slots",)}
 
 
-def ring(*held: float, size: float = 4.0, zone: str = "here") -> list[WorkerEntry]:
+def ring(*loads: float, size: float = 4.0, zone: str = "here") -> list[WorkerEntry]:
     """Return workers whose live weights report these numbers of queued and running requests per slot."""
-    return [entry(f"{zone}{place}", zone, weight=size / (1 + item)) for place, item in enumerate(held)]
+    return [entry(f"{zone}{place}", zone, weight=size / (1 + load)) for place, load in enumerate(loads)]
 
 
-def crowd(*workers: WorkerEntry) -> Bench:
+def large_fleet(*workers: WorkerEntry) -> Bench:
     """Return one dispatcher of forty, which has learned the weight of an idle worker from an earlier list."""
-    bench = Bench(entry("gone", weight=4.0), **WEIGHED)
+    bench = Bench(entry("gone", weight=4.0), **LIVE_WEIGHTS)
     bench.listed(*workers)
     return bench
 
 
-def test_among_a_crowd_what_the_list_says_that_a_worker_holds_passes_it_over() -> None:
+def test_large_fleet_skips_workers_that_the_list_shows_loaded() -> None:
     """Guards against plain round-robin, which sent full workers as many requests as idle ones.
 
     The full workers had been filled by all forty dispatchers together.
     """
-    bench = crowd(*ring(3, 0, 3, 3, 0, 3))
+    bench = large_fleet(*ring(3, 0, 3, 3, 0, 3))
     sent = {only(bench.job(), StartAttempt).worker for _ in range(2)}
     assert sent == {"here1", "here4"}
     # The third request stays pending: the load estimates of both idle workers now include a request of each other
@@ -54,32 +54,32 @@
     assert not of(bench.job(), StartAttempt)
 
 
-def test_a_job_that_waits_takes_what_is_less_and_less_empty_and_is_not_held_for_ever() -> None:
-    bench = crowd(*ring(3, 3.5, 4))
+def test_pending_request_accepts_more_loaded_workers_the_longer_it_waits() -> None:
+    bench = large_fleet(*ring(3, 3.5, 4))
     assert not of(bench.job(), StartAttempt)
     assert next(action.worker for action in of(bench.pass_time(SECOND), StartAttempt)) == "here0"
 
 
-def test_other_zones_take_over_only_what_the_own_ring_has_no_room_for() -> None:
+def test_other_zones_get_only_requests_for_which_the_own_ring_has_no_capacity() -> None:
     full, empty = ring(3, 3), ring(0, zone="there")
-    assert only(crowd(*full, *empty).job(), StartAttempt).worker == "there0"
-    assert only(crowd(*ring(0.7, 3), *empty).job(), StartAttempt).worker == "here0"
+    assert only(large_fleet(*full, *empty).job(), StartAttempt).worker == "there0"
+    assert only(large_fleet(*ring(0.7, 3), *empty).job(), StartAttempt).worker == "here0"
     # Workers of other zones count as saturated at a lower load, which leaves capacity for their own zone's requests.
-    assert not of(crowd(*full, *ring(0.7, zone="there")).job(), StartAttempt)
+    assert not of(large_fleet(*full, *ring(0.7, zone="there")).job(), StartAttempt)
 
 
-def test_what_other_zones_hold_is_not_reckoned_away_between_two_lists() -> None:
+def test_load_of_other_zones_is_not_assumed_to_drain_between_two_lists() -> None:
     """Guards against the assumption that workers of other zones drain their queues between two lists.
 
     Half a second after a list, nearly full zones were taken to be idle, and all requests of a lost zone went to them.
     """
     for zone, sends in (("here", 1), ("there", 0)):
-        bench = crowd(*ring(1.5, zone=zone))
+        bench = large_fleet(*ring(1.5, zone=zone))
         bench.pass_time(300 * MS)
         assert len(of(bench.job(), StartAttempt)) == sends
 
 
-def test_one_dispatcher_or_few_keep_to_what_they_see_themselves() -> None:
+def test_small_fleet_ignores_the_listed_load() -> None:
     for dispatchers in (1, 4):
         bench = Bench(entry("gone", weight=4.0), dispatchers=dispatchers, weights=Weights.LIVE)
         bench.listed(*ring(3, 3))
@@ -87,24 +87,24 @@
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0, math.nan, math.inf])
-def test_a_weight_that_cannot_be_is_no_news(weight: float) -> None:
-    bench = crowd(*ring(3, 0))
+def test_invalid_weight_is_ignored(weight: float) -> None:
+    bench = large_fleet(*ring(3, 0))
     bench.listed(entry("here0", weight=weight), entry("here1", weight=weight), kind=ListKind.CHANGES)
     assert only(bench.job(), StartAttempt).worker == "here1"
 
 
-def test_where_lists_tell_what_workers_hold_none_is_asked_for_it() -> None:
+def test_no_worker_is_probed_where_lists_carry_load() -> None:
     """Guards against probe storms: forty dispatchers made 2000 probes a second to place 400 requests."""
-    bench = crowd(*ring(*[0.0] * 8))
+    bench = large_fleet(*ring(*[0.0] * 8))
     given = [action for _ in range(20) for action in [*bench.job(), *bench.pass_time(20 * MS)]]
     assert len(of(given, StartAttempt)) >= 8
     assert not of(given, CheckHealth)
 
 
-def test_a_job_that_waits_in_a_queue_moves_to_where_there_is_room_but_to_no_other_zone() -> None:
+def test_queued_request_moves_to_an_idle_worker_of_its_own_zone_only() -> None:
     """Guards against requests that stay queued behind urgent ones until their deadline while other workers are idle."""
     for elsewhere, moved in (("here", ["here1"]), ("there", [])):
-        bench = crowd(*ring(0))
+        bench = large_fleet(*ring(0))
         assert only(bench.job(), StartAttempt).worker == "here0"
         first = entry("here0", weight=1.0)
         bench.listed(first, *(entry for entry in ring(0, 0, zone=elsewhere) if entry.worker[-1] == "1"))
@@ -113,25 +113,25 @@
         assert len(of(given, CancelAttempt)) == len(moved)
 
 
-def test_what_must_not_run_twice_stays_in_its_queue() -> None:
-    bench = crowd(*ring(0))
+def test_queued_unsafe_request_does_not_move() -> None:
+    bench = large_fleet(*ring(0))
     assert only(bench.job("pay"), StartAttempt).worker == "here0"
     bench.listed(entry("here0", weight=1.0), ring(0, 0)[1])
     assert not of(bench.pass_time(4 * SECOND), StartAttempt)
 
 
-def test_an_urgent_job_waits_for_more_room_than_others() -> None:
+def test_urgent_request_needs_a_less_loaded_worker() -> None:
     """Guards against preemption: urgent requests preempted running ones; one request in ten was lost and repeated."""
     urgent = RequestClass("urgent", latency_target_ns=SECOND, deadline_ns=20 * SECOND, priority=1)
     for job_class, count in (("look", 1), ("urgent", 0)):
-        bench = Bench(entry("gone", weight=4.0), classes=(SAFE, urgent), **WEIGHED)
+        bench = Bench(entry("gone", weight=4.0), classes=(SAFE, urgent), **LIVE_WEIGHTS)
         bench.listed(*ring(0.6))
         assert len(of(bench.job(job_class, 20 * SECOND), StartAttempt)) == count
 
 
-def test_a_job_turned_away_goes_on_only_to_who_was_heard_of_lately() -> None:
+def test_request_that_did_not_run_is_retried_only_at_a_recently_seen_worker() -> None:
     """Guards against retries at gone workers: with an outdated list a request used up all its attempts on them."""
-    bench = crowd(*ring(*[0.0] * 4))
+    bench = large_fleet(*ring(*[0.0] * 4))
     good = bench.run_job()
     bench.listed(*ring(*[0.0] * 4), kind=ListKind.CHANGES)
     worker = only(bench.job(), StartAttempt).worker
@@ -140,23 +140,23 @@
     assert only(given, StartAttempt).worker == good
 
 
-def test_a_job_pushed_out_rests_no_worker_of_a_crowd() -> None:
+def test_preempted_request_ejects_no_worker_in_a_large_fleet() -> None:
     """Guards against ejections for preempted requests: each kept a healthy worker idle and cost a health check."""
     urgent = RequestClass("urgent", latency_target_ns=SECOND, deadline_ns=20 * SECOND, priority=1)
     for dispatchers, probes in ((40, 0), (1, 1)):
-        bench = Bench(entry("here0"), classes=(SAFE, urgent), **{**WEIGHED, "dispatchers": dispatchers})
+        bench = Bench(entry("here0"), classes=(SAFE, urgent), **{**LIVE_WEIGHTS, "dispatchers": dispatchers})
         bench.job()
         bench.started("j0", "here0")
         bench.ended("j0", "here0", Outcome.RESET)
         assert len(of(bench.pass_time(200 * MS), CheckHealth)) == probes
 
 
-def test_a_worker_of_a_crowd_that_fails_a_job_rests_at_once_and_first_gets_what_can_be_repeated() -> None:
+def test_error_ejects_a_worker_of_a_large_fleet_which_first_gets_a_safe_request_on_return() -> None:
     """Guards against a worker that fails fast and therefore looks idle.
 
     Every list shows this worker as the idlest, so forty dispatchers sent 50 requests a second to it.
     """
-    bench = crowd(*ring(0))
+    bench = large_fleet(*ring(0))
     bench.job()
     bench.started("j0", "here0")
     bench.give(AttemptEnded("j0", 0, "here0", Outcome.ERROR))
@@ -175,7 +175,7 @@
 
 def test_a_start_that_waited_for_a_new_connection_is_not_late() -> None:
     """Guards against slow handshakes: each first request on a new connection was taken to be queued at its worker."""
-    bench = crowd(*ring(0))
+    bench = large_fleet(*ring(0))
     bench.job()
     bench.pass_time(40 * MS)
     bench.started("j0", "here0")
@@ -193,8 +193,8 @@
     assert attempt.is_late
 
 
-@pytest.mark.parametrize("asking", ["own zone", "everybody"])
-def test_a_cold_worker_gets_most_of_what_it_can_bear_from_its_own_zone_and_never_more_than_that(asking: str) -> None:
+@pytest.mark.parametrize("senders", ["own zone", "all zones"])
+def test_cold_worker_gets_most_of_its_budget_from_its_own_zone_and_never_more_than_all(senders: str) -> None:
     """Guards against equal shares of a cold worker's budget among all dispatchers.
 
     A zone whose workers all restarted used a quarter of their budget, and sent its requests to other zones meanwhile.
@@ -203,12 +203,12 @@
     rules = Rules(initial_share=0.3, warm_up_ns=8 * SECOND, overload_multiple=3.0, overload_window_ns=3 * SECOND)
     cold = entry("cold", "here", weight=4.0, started_ns=START)
     sent = 0
-    for number in range(40 if asking == "everybody" else 10):
+    for number in range(40 if senders == "all zones" else 10):
         zone = zones[number // 10]
-        each = Dispatcher(
-            settings(zones=zones, own_zone=zone, own_number=number, rules=rules, **WEIGHED), number
+        dispatcher = Dispatcher(
+            settings(zones=zones, own_zone=zone, own_number=number, rules=rules, **LIVE_WEIGHTS), number
         )  # fmt: skip
-        each.handle(START, [WorkersListed(ListKind.WARM_COPY, (cold,), 1)])
+        dispatcher.handle(START, [WorkersListed(ListKind.WARM_COPY, (cold,), 1)])
         now = START
         for step in range(300):  # 3 s with one request every 0.3 s, each served at once
             now += 10 * MS
@@ -216,20 +216,20 @@
             if step % 30 == 0:
                 events.append(RequestArrived(f"j{step}", "look", now + SECOND // 3, service_hint_ns=200 * MS))
                 events.append(WorkersListed(ListKind.CHANGES, (cold,), 1))
-            for send in of(each.handle(now, events), StartAttempt):
+            for send in of(dispatcher.handle(now, events), StartAttempt):
                 sent += 1
-                each.handle(now, [AttemptStarted(send.request_id, 0, "cold")])
-                each.handle(now, [AttemptEnded(send.request_id, 0, "cold", Outcome.OK, final=True)])
+                dispatcher.handle(now, [AttemptStarted(send.request_id, 0, "cold")])
+                dispatcher.handle(now, [AttemptEnded(send.request_id, 0, "cold", Outcome.OK, final=True)])
     # Overload window 3 s x overload multiple 3 x share of capacity after 3 s of the 8 s warm-up / service time 0.2 s.
     # A worker counts as one slot until more slots are observed or reported.
-    bears = 3 * 3 * (0.3 + 0.7 * 3 / 8) / 0.2
-    assert sent <= bears
-    if asking == "own zone":
+    budget = 3 * 3 * (0.3 + 0.7 * 3 / 8) / 0.2
+    assert sent <= budget
+    if senders == "own zone":
         # With equal shares no request would be sent, because each share is less than one request.
         assert sent >= 3
 
 
-def test_forty_dispatchers_side_by_side_fill_a_ring_by_what_its_workers_can_do() -> None:
+def test_dispatchers_without_messages_load_workers_by_their_capacity() -> None:
     """Guards against equal turns for unequal workers.
 
     Twenty dispatchers of one zone send to six workers, two of which are three times as fast as the others. The
@@ -237,59 +237,60 @@
     """
     sizes = [12.0, 4.0, 4.0, 12.0, 4.0, 4.0]
     kinds = ["quick" if size > 4 else "slow" for size in sizes]
-    many = [
-        Dispatcher(settings(limits=LIMITS, kinds=("quick", "slow"), own_number=number, **WEIGHED), number)
+    dispatchers = [
+        Dispatcher(settings(limits=LIMITS, kinds=("quick", "slow"), own_number=number, **LIVE_WEIGHTS), number)
         for number in range(20)
     ]
-    empty = [entry(f"w{place}", kind=kinds[place], weight=size) for place, size in enumerate(sizes)]
-    for item in many:
-        item.handle(START, [WorkersListed(ListKind.WARM_COPY, tuple(empty), 1)])
-    held = [0.0] * 6  # requests at each worker, which has four slots
+    idle = [entry(f"w{place}", kind=kinds[place], weight=size) for place, size in enumerate(sizes)]
+    for dispatcher in dispatchers:
+        dispatcher.handle(START, [WorkersListed(ListKind.WARM_COPY, tuple(idle), 1)])
+    load = [0.0] * 6  # requests at each worker, which has four slots
     sent = [0] * 6
     running: list[tuple[int, Dispatcher, str, int]] = []
-    worst, made = 0.0, 0
+    worst, request_count = 0.0, 0
     for step in range(400):
         now = START + step * 10 * MS
         if step % 50 == 0:  # every 0.5 s an endpoint list with the current load
-            told = [
-                entry(f"w{place}", kind=kinds[place], weight=size / (1 + held[place] / 4))
+            listed = [
+                entry(f"w{place}", kind=kinds[place], weight=size / (1 + load[place] / 4))
                 for place, size in enumerate(sizes)
             ]
-            for item in many:
-                item.handle(now, [WorkersListed(ListKind.CHANGES, tuple(told), 2)])
-        for item in many:
+            for dispatcher in dispatchers:
+                dispatcher.handle(now, [WorkersListed(ListKind.CHANGES, tuple(listed), 2)])
+        for dispatcher in dispatchers:
             events: list[Event] = [TimerFired("sweep")]
-            for over in [over for over in running if over[0] <= now and over[1] is item]:
-                running.remove(over)
-                held[over[3]] -= 1
-                events.append(AttemptEnded(over[2], 0, f"w{over[3]}", Outcome.OK, final=True))
-            if step % 27 == many.index(item):  # 74 requests a second from all dispatchers; the workers can serve 89
-                events.append(RequestArrived(f"j{made}", "look", now + 5 * SECOND))
-                made += 1
-            for action in of(item.handle(now, events), StartAttempt):
+            for ended in [ended for ended in running if ended[0] <= now and ended[1] is dispatcher]:
+                running.remove(ended)
+                load[ended[3]] -= 1
+                events.append(AttemptEnded(ended[2], 0, f"w{ended[3]}", Outcome.OK, final=True))
+            # 74 requests a second from all dispatchers; the workers can serve 89.
+            if step % 27 == dispatchers.index(dispatcher):
+                events.append(RequestArrived(f"j{request_count}", "look", now + 5 * SECOND))
+                request_count += 1
+            for action in of(dispatcher.handle(now, events), StartAttempt):
                 place = int(action.worker[1:])
                 # A worker runs four requests at once; further requests queue there.
-                waits = max(0.0, held[place] - 3) / 4
-                took = round((0.15 if kinds[place] == "quick" else 0.45) * (1 + waits) * SECOND)
-                held[place] += 1
+                wait = max(0.0, load[place] - 3) / 4
+                duration_ns = round((0.15 if kinds[place] == "quick" else 0.45) * (1 + wait) * SECOND)
+                load[place] += 1
                 sent[place] += 1
-                worst = max(worst, held[place] / 4)
-                running.append((now + took, item, action.request_id, place))
-                item.handle(now, [AttemptStarted(action.request_id, 0, action.worker)])
-    assert made > 290
-    assert sum(sent) >= made - 10
+                worst = max(worst, load[place] / 4)
+                running.append((now + duration_ns, dispatcher, action.request_id, place))
+                dispatcher.handle(now, [AttemptStarted(action.request_id, 0, action.worker)])
+    assert request_count > 290
+    assert sum(sent) >= request_count - 10
     # Plain round-robin reaches 7.25 requests per slot, and the queues keep growing.
     assert worst <= 6, (worst, sent)
     assert min(sent[0], sent[3]) > 1.4 * max(sent[1], sent[2], sent[4], sent[5]), sent
 
 
-def test_where_starts_are_not_told_a_long_job_is_not_taken_for_a_queue() -> None:
+def test_long_request_is_not_taken_for_a_queue_where_starts_are_not_reported() -> None:
     """Guards platforms that report no starts.
 
     Each request in flight for longer than the connect timeout counted as queued, and its worker was skipped in the
     next rounds.
     """
-    bench = Bench(entry("here0"), entry("here1"), **{**WEIGHED, "weights": Weights.NONE, "tells_start": False})
+    bench = Bench(entry("here0"), entry("here1"), **{**LIVE_WEIGHTS, "weights": Weights.NONE, "tells_start": False})
     first = only(bench.job(), StartAttempt).worker
     bench.pass_time(150 * MS)  # 1.5 connect timeouts, but no longer than the request may run
     bench.ended("j0", first)
@@ -298,23 +299,27 @@
 
 # --- a large fleet whose lists carry no load ------------------------------------------------------
 
-WORTHLESS = RequestClass(
+WORTHLESS_WHEN_LATE = RequestClass(
     "look", latency_target_ns=200 * MS, deadline_ns=5 * SECOND, effect=Effect.KEYED, window_ns=4 * SECOND
 )
-UNTOLD: dict[str, Any] = {"dispatchers": 40, "classes": (WORTHLESS,), "limits": replace(LIMITS, second_copies=False)}
+WITHOUT_LOAD: dict[str, Any] = {
+    "dispatchers": 40,
+    "classes": (WORTHLESS_WHEN_LATE,),
+    "limits": replace(LIMITS, second_copies=False),
+}
 
 
-def untold(workers: int, **changes: Any) -> Bench:
+def large_fleet_without_load(workers: int, **changes: Any) -> Bench:
     """Return one dispatcher of forty, whose endpoint lists carry no load."""
-    return Bench(*(entry(f"here{place}") for place in range(workers)), **{**UNTOLD, **changes})
+    return Bench(*(entry(f"here{place}") for place in range(workers)), **{**WITHOUT_LOAD, **changes})
 
 
-def test_among_a_crowd_a_job_in_a_queue_is_given_up_once_its_answer_earns_nothing() -> None:
+def test_queued_request_is_cancelled_once_its_answer_has_no_value() -> None:
     """Guards against worthless requests in a worker's queue.
 
     Each such request stayed for as long as its client waited, and made the requests behind it late.
     """
-    bench = untold(1, classes=(replace(WORTHLESS, effect=Effect.UNSAFE),))
+    bench = large_fleet_without_load(1, classes=(replace(WORTHLESS_WHEN_LATE, effect=Effect.UNSAFE),))
     assert only(bench.job(), StartAttempt).worker == "here0"
     assert not of(bench.pass_time(150 * MS), CancelAttempt)  # the request can still meet its latency target
     given = bench.pass_time(SECOND)
@@ -322,52 +327,52 @@
     assert only(given, FailRequest).request_id == "j0"
 
 
-@pytest.mark.parametrize("why", ["it has started", "no start is told", "late answers earn something", "there are few"])
-def test_a_job_that_may_still_earn_something_stays(why: str) -> None:
-    earns = replace(WORTHLESS, late_value=0.5)
-    ways: dict[str, dict[str, Any]] = {
-        "it has started": {}, "no start is told": {"tells_start": False},
-        "late answers earn something": {"classes": (earns,)}, "there are few": {"dispatchers": 2},
+@pytest.mark.parametrize("case", ["started", "starts not reported", "late answers have value", "small fleet"])
+def test_request_whose_answer_may_have_value_is_kept(case: str) -> None:
+    valuable_when_late = replace(WORTHLESS_WHEN_LATE, late_value=0.5)
+    changes_of_case: dict[str, dict[str, Any]] = {
+        "started": {}, "starts not reported": {"tells_start": False},
+        "late answers have value": {"classes": (valuable_when_late,)}, "small fleet": {"dispatchers": 2},
     }  # fmt: skip
-    changes = ways[why]
+    changes = changes_of_case[case]
     unsafe = tuple(
-        replace(request_class, effect=Effect.UNSAFE) for request_class in changes.pop("classes", (WORTHLESS,))
+        replace(request_class, effect=Effect.UNSAFE) for request_class in changes.pop("classes", (WORTHLESS_WHEN_LATE,))
     )
-    bench = untold(1, classes=unsafe, **changes)
+    bench = large_fleet_without_load(1, classes=unsafe, **changes)
     bench.job()
-    if why == "it has started":
+    if case == "started":
         bench.started("j0", "here0")
     given = bench.pass_time(SECOND)
     assert not of(given, RejectRequest)
     assert not of(given, FailRequest)
 
 
-def test_a_marked_repeat_of_what_earns_nothing_late_stands_behind_first_tries() -> None:
+def test_marked_client_retry_is_sent_after_first_attempts() -> None:
     """Guards against retry storms.
 
     Rejected clients retried at once, and took capacity that first attempts could still have used in time.
     """
-    bench = untold(0)
+    bench = large_fleet_without_load(0)
     bench.job(repeat=True)
     bench.job()
     given = bench.listed(entry("here0"))
     assert only(given, StartAttempt).request_id == "j1"
 
 
-def test_a_job_whose_third_worker_is_full_too_has_fewer_sent_until_starts_are_prompt_again() -> None:
+def test_late_starts_at_three_workers_lower_the_in_flight_limit_until_a_prompt_start() -> None:
     """Guards against standing queues: a burst filled all queues, and answers stayed late long after the burst."""
-    bench = untold(8, classes=(replace(WORTHLESS, late_value=0.5),))
+    bench = large_fleet_without_load(8, classes=(replace(WORTHLESS_WHEN_LATE, late_value=0.5),))
     for _ in range(8):
         bench.run_job(10 * MS)  # every worker starts its request without delay
-    most = parts_of(bench.dispatcher).limits.max_in_flight
-    assert most == math.inf
+    initial_limit = parts_of(bench.dispatcher).limits.max_in_flight
+    assert initial_limit == math.inf
     name = f"j{bench.made}"
     worker = only(bench.job(), StartAttempt).worker
     for number in range(3):  # no worker starts the request: each attempt is cancelled, and another worker is tried
         given = bench.pass_time(150 * MS)
         assert of(given, CancelAttempt) == [CancelAttempt(name, number)]
         worker = only(bench.ended(name, worker, Outcome.CANCELLED, number, False), StartAttempt).worker
-    assert 1 <= parts_of(bench.dispatcher).limits.max_in_flight < most
+    assert 1 <= parts_of(bench.dispatcher).limits.max_in_flight < initial_limit
     first = bench.made
     sent = [f"j{first + place}" for place in range(8) if of(bench.job(), StartAttempt)]
     # While one request is in flight, the others stay pending at the dispatcher and can still be sent to any worker.
--- a/tests/dispatch/test_drawn_deployments.py
+++ b/tests/dispatch/test_drawn_deployments.py
@@ -42,7 +42,7 @@
     Weights,
 )
 from canvasbeam.scheduler.limits import Limits
-from tests.dispatch.test_rules_property import Referee, RuleBrokenError, is_crowd, watch
+from tests.dispatch.test_rules_property import RuleBrokenError, RuleChecker, is_large_fleet, run_events
 from tests.support.helpers import MS, SECOND, START
 from tests.support.loopback import Peer, Server, World, complete, done, job
 from tests.support.planted_faults import AnswersTwice, RetriesAll
@@ -79,7 +79,7 @@
     zones = ZONES[: draw(st.integers(1, 4))]
     kinds = KINDS[: draw(st.integers(0, 2))]
     dispatchers = draw(st.integers(1, 40))
-    told = Settings(
+    settings = Settings(
         classes=draw(classes(kinds)), zones=zones, own_zone=draw(st.sampled_from(zones)), kinds=kinds,
         tenants=tuple(
             Tenant(f"t{place}", share=0.3, quota_per_s=draw(st.sampled_from([0.0, 5.0, 500.0])))
@@ -103,12 +103,12 @@
             overload_window_ns=draw(st.sampled_from([1, 3])) * SECOND,
         ),
     )  # fmt: skip
-    homes = [(zone, kind) for zone in zones for kind in kinds or ("",)]
+    zones_and_kinds = [(zone, kind) for zone in zones for kind in kinds or ("",)]
     fleet = tuple(
-        WorkerEntry(f"w{place}", *homes[place % len(homes)], cell=place // 3)
-        for place in range(len(homes) * draw(st.integers(1 if dispatchers <= 8 else 3, 4)))
+        WorkerEntry(f"w{place}", *zones_and_kinds[place % len(zones_and_kinds)], cell=place // 3)
+        for place in range(len(zones_and_kinds) * draw(st.integers(1 if dispatchers <= 8 else 3, 4)))
     )
-    return told, fleet
+    return settings, fleet
 
 
 # The shrinking phase is left out: it takes minutes, and the settings of a failing example already show the cause.
@@ -119,17 +119,17 @@
 
 @PROFILE
 @given(deployments(), st.integers(0, 10**6), st.booleans())
-def test_the_rules_hold_on_every_deployment(drawn: Deployment, seed: int, rush: bool) -> None:
-    told, fleet = drawn
-    watch(Referee(Dispatcher, random.Random(seed), told, fleet, rush), steps=80)
+def test_rules_hold_on_drawn_deployments(drawn: Deployment, seed: int, is_dense: bool) -> None:
+    settings, fleet = drawn
+    run_events(RuleChecker(Dispatcher, random.Random(seed), settings, fleet, is_dense), steps=80)
 
 
 @pytest.mark.parametrize(("kind", "broken"), [(AnswersTwice, "1: "), (RetriesAll, "2: ")])
-def test_drawn_deployments_find_a_broken_dispatcher(kind: type[Dispatcher], broken: str) -> None:
+def test_drawn_deployments_reveal_a_faulty_dispatcher(kind: type[Dispatcher], broken: str) -> None:
     @PROFILE
     @given(deployments(), st.integers(0, 10**6))
     def search(drawn: Deployment, seed: int) -> None:
-        watch(Referee(kind, random.Random(seed), *drawn, rush=False), steps=80)
+        run_events(RuleChecker(kind, random.Random(seed), *drawn, is_dense=False), steps=80)
 
     with pytest.raises((RuleBrokenError, ExceptionGroup)) as found:
         search()
@@ -138,32 +138,32 @@
     assert any(text.startswith(broken) for text in seen), seen
 
 
-class CalmDay:
+class LightLoad:
     """Simulates one dispatcher and fault-free workers of two slots each, loaded to a third of their capacity."""
 
-    WORK = 60 * MS
+    SERVICE_NS = 60 * MS
     SLOTS = 2
-    WAY = 200_000
+    ONE_WAY_NS = 200_000
 
-    def __init__(self, told: Settings, fleet: tuple[WorkerEntry, ...], seed: int) -> None:
-        self.told, self.rng = told, random.Random(seed)
-        self.dispatcher = Dispatcher(told, seed)
+    def __init__(self, settings: Settings, fleet: tuple[WorkerEntry, ...], seed: int) -> None:
+        self.settings, self.rng = settings, random.Random(seed)
+        self.dispatcher = Dispatcher(settings, seed)
         self.now, self._order = START, 0
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self.running = {worker.worker: 0 for worker in fleet}
         self.queues: dict[str, deque[tuple[str, int]]] = {worker.worker: deque() for worker in fleet}
-        self.tries: dict[str, int] = {}
-        self.came: dict[str, int] = {}
-        self.took: dict[str, int] = {}
-        self.refused: set[str] = set()
+        self.last_attempts: dict[str, int] = {}
+        self.arrived_at: dict[str, int] = {}
+        self.latencies_ns: dict[str, int] = {}
+        self.rejected: set[str] = set()
         self.give(WorkersListed(ListKind.COMPLETE, fleet, 1))
         # Some classes run on one kind of worker only, so the load is a third of one kind's capacity. In a large fleet
         # this dispatcher gets only its own share of the load, because it allows for the requests of the others.
-        rate = 0.33 * len(fleet) * self.SLOTS / max(1, len(told.kinds)) / (self.WORK / SECOND)
-        crowd = told.dispatchers if is_crowd(told, fleet) else 1
-        rate /= crowd
-        when, self.end_of_day = START + SECOND, START + (5 * crowd + 1) * SECOND
-        while when < self.end_of_day:
+        rate = 0.33 * len(fleet) * self.SLOTS / max(1, len(settings.kinds)) / (self.SERVICE_NS / SECOND)
+        sharing_dispatchers = settings.dispatchers if is_large_fleet(settings, fleet) else 1
+        rate /= sharing_dispatchers
+        when, self.arrivals_end = START + SECOND, START + (5 * sharing_dispatchers + 1) * SECOND
+        while when < self.arrivals_end:
             self.at(when, self.arrive)
             when += round(self.rng.expovariate(rate) * SECOND)
 
@@ -171,8 +171,8 @@
         self._order += 1
         heappush(self._events, (when, self._order, action))
 
-    def play(self) -> None:
-        while self._events and self._events[0][0] <= self.end_of_day + 20 * SECOND:
+    def run(self) -> None:
+        while self._events and self._events[0][0] <= self.arrivals_end + 20 * SECOND:
             self.now, _, action = heappop(self._events)
             action()
 
@@ -180,19 +180,19 @@
         for action in self.dispatcher.handle(self.now, (event,)):
             match action:
                 case StartAttempt(job, worker):
-                    number = self.tries[job] = self.tries.get(job, -1) + 1
-                    self.at(self.now + self.WAY, partial(self.queue, job, number, worker))
+                    number = self.last_attempts[job] = self.last_attempts.get(job, -1) + 1
+                    self.at(self.now + self.ONE_WAY_NS, partial(self.queue, job, number, worker))
                 case RejectRequest(job) | FailRequest(job):
-                    self.refused.add(job)
+                    self.rejected.add(job)
                 case SetTimer(token, when):
                     self.at(max(self.now, when), partial(self.give, TimerFired(token)))
                 case CheckHealth(worker):
-                    self.at(self.now + 2 * self.WAY, partial(self.give, HealthCheckEnded(worker, Outcome.OK)))
+                    self.at(self.now + 2 * self.ONE_WAY_NS, partial(self.give, HealthCheckEnded(worker, Outcome.OK)))
 
     def arrive(self) -> None:
-        cls = self.rng.choice(self.told.classes)
-        name = f"j{len(self.came)}"
-        self.came[name] = self.now
+        cls = self.rng.choice(self.settings.classes)
+        name = f"j{len(self.arrived_at)}"
+        self.arrived_at[name] = self.now
         self.give(RequestArrived(name, cls.name, self.now + cls.deadline_ns, key=f"k{self.rng.randrange(50)}"))
 
     def queue(self, job: str, number: int, worker: str) -> None:
@@ -203,38 +203,41 @@
         while self.running[worker] < self.SLOTS and self.queues[worker]:
             job, number = self.queues[worker].popleft()
             self.running[worker] += 1
-            if self.told.tells_start:
-                self.at(self.now + self.WAY, partial(self.give, AttemptStarted(job, number, worker)))
-            self.at(self.now + self.WORK, partial(self.end, job, number, worker))
+            if self.settings.tells_start:
+                self.at(self.now + self.ONE_WAY_NS, partial(self.give, AttemptStarted(job, number, worker)))
+            self.at(self.now + self.SERVICE_NS, partial(self.end, job, number, worker))
 
     def end(self, job: str, number: int, worker: str) -> None:
         self.running[worker] -= 1
         self.start_next(worker)
 
-        def told() -> None:
-            self.took.setdefault(job, self.now - self.came[job])
+        def report_end() -> None:
+            self.latencies_ns.setdefault(job, self.now - self.arrived_at[job])
             self.give(AttemptEnded(job, number, worker, Outcome.OK, final=True))
 
-        self.at(self.now + self.WAY, told)
+        self.at(self.now + self.ONE_WAY_NS, report_end)
 
 
-def check_calm(told: Settings, fleet: tuple[WorkerEntry, ...], seed: int) -> None:
+def check_light_load(settings: Settings, fleet: tuple[WorkerEntry, ...], seed: int) -> None:
     """Check that every request is served, and nine in ten in time where starts are reported.
 
     Without reported starts the dispatcher cannot tell a queued request from a long one.
     """
-    day = CalmDay(told, fleet, seed)
-    day.play()
-    assert not day.refused
-    assert set(day.took) == set(day.came)
-    quick = sum(took <= 2.5 * CalmDay.WORK for took in day.took.values())
-    assert quick >= 0.9 * len(day.came) or not told.tells_start, (quick, len(day.came))
+    simulation = LightLoad(settings, fleet, seed)
+    simulation.run()
+    assert not simulation.rejected
+    assert set(simulation.latencies_ns) == set(simulation.arrived_at)
+    in_time = sum(latency_ns <= 2.5 * LightLoad.SERVICE_NS for latency_ns in simulation.latencies_ns.values())
+    assert in_time >= 0.9 * len(simulation.arrived_at) or not settings.tells_start, (
+        in_time,
+        len(simulation.arrived_at),
+    )
 
 
 @PROFILE
 @given(deployments(), st.integers(0, 10**6))
-def test_a_calm_day_is_served_on_every_deployment(drawn: Deployment, seed: int) -> None:
-    check_calm(*drawn, seed)
+def test_light_load_is_served_on_drawn_deployments(drawn: Deployment, seed: int) -> None:
+    check_light_load(*drawn, seed)
 
 
 # --- the scheduler over sockets -------------------------------------------------------------------
@@ -242,17 +245,17 @@
 
 @profile(max_examples=25, deadline=None, derandomize=True, database=None, phases=(Phase.explicit, Phase.generate))
 @given(deployments(), st.integers(1, 3))
-def test_a_calm_moment_is_served_over_sockets_on_every_deployment(drawn: Deployment, targets: int) -> None:
+def test_light_load_is_served_over_sockets_on_drawn_deployments(drawn: Deployment, targets: int) -> None:
     """Guards against lost requests in the complete scheduler, whose buffers are sized by the settings.
 
     Each client gets the result of its own request, and a planned shutdown loses no request.
     """
-    told = replace(
+    settings = replace(
         drawn[0], kinds=(), classes=tuple(replace(request_class, kind=None) for request_class in drawn[0].classes)
     )
-    changes = {field.name: getattr(told, field.name) for field in fields(told) if field.name != "limits"}
+    changes = {field.name: getattr(settings, field.name) for field in fields(settings) if field.name != "limits"}
     world = World(
-        *(Server() for _ in range(targets)), limits=Limits.of(told, 512, 88), allowed=told.limits, **changes
+        *(Server() for _ in range(targets)), limits=Limits.of(settings, 512, 88), allowed=settings.limits, **changes
     )  # fmt: skip
     dispatcher, answered = world.coordinator.decisions.dispatcher, set()
 
@@ -266,8 +269,8 @@
                         peer.say(done(f"r-{name}", name))
 
     clients = []
-    for number, request_class in enumerate(told.classes * 2):
-        if number == len(told.classes):
+    for number, request_class in enumerate(settings.classes * 2):
+        if number == len(settings.classes):
             # The second half of the requests arrives during the planned shutdown, before the deadline of any class.
             world.listener.drain()
         client = world.client(
@@ -275,13 +278,13 @@
         )
         clients.append(client)
 
-        def whole(client: Peer = client) -> bool:
+        def is_answered(client: Peer = client) -> bool:
             serve()
             return complete(client.look()) == 1
 
-        world.until(whole)
+        world.until(is_answered)
         status = client.got.split()[1]
-        assert status == b"200" or (status == b"503" and number >= len(told.classes))
+        assert status == b"200" or (status == b"503" and number >= len(settings.classes))
         assert status == b"503" or client.got.endswith(f"r-c{number}".encode())
     # An exception in the dispatcher would have replaced the dispatcher by a new one.
     assert world.coordinator.decisions.dispatcher is dispatcher
--- a/tests/dispatch/test_fleet_limits.py
+++ b/tests/dispatch/test_fleet_limits.py
@@ -36,12 +36,12 @@
 
 def fleet(count: int) -> list[FleetLimits]:
     """Return schedulers that have passed the settling time and know all members of the fleet."""
-    made = [FleetLimits(name, RETRY, COLD) for name in members(count)]
-    for item in made:
-        item.services(START, {KIND: WarmUpRate(RATE)})
-        item.members(START, members(count))
-        item.listed(START, entry())
-    return made
+    schedulers = [FleetLimits(name, RETRY, COLD) for name in members(count)]
+    for scheduler in schedulers:
+        scheduler.services(START, {KIND: WarmUpRate(RATE)})
+        scheduler.members(START, members(count))
+        scheduler.listed(START, entry())
+    return schedulers
 
 
 def is_warming_up(scheduler: FleetLimits, now: int) -> bool:
@@ -54,8 +54,8 @@
     """Return the largest number of events in any window of this length."""
     ordered = sorted(times)
     most = first = 0
-    for last, when in enumerate(ordered):
-        while ordered[first] <= when - window_ns:
+    for last, time in enumerate(ordered):
+        while ordered[first] <= time - window_ns:
             first += 1
         most = max(most, last - first + 1)
     return most
@@ -63,44 +63,42 @@
 
 def flood_cold_worker(schedulers: list[FleetLimits], seed: int, cold_at: int, changes: int = 0) -> list[int]:
     """Let all schedulers send whenever they may; return the times of sends to the cold worker, in nanoseconds."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     until = cold_at + 4 * SECOND
-    asks = sorted(
-        (START + SECOND + chance.randrange(6 * SECOND), number) for number in range(len(schedulers)) for _ in range(200)
+    attempts = sorted(
+        (START + SECOND + rng.randrange(6 * SECOND), number) for number in range(len(schedulers)) for _ in range(200)
     )
-    change_times = sorted(START + chance.randrange(6 * SECOND) for _ in range(changes))
+    change_times = sorted(START + rng.randrange(6 * SECOND) for _ in range(changes))
     sent = []
-    told = False
-    for now, number in asks:
-        if now >= cold_at and not told:
-            told = True
+    is_listed = False
+    for now, number in attempts:
+        if now >= cold_at and not is_listed:
+            is_listed = True
             for scheduler in schedulers:
                 scheduler.listed(cold_at, entry(cold_until=until))
         while change_times and change_times[0] <= now:
             change_times.pop()
-            chance.choice(schedulers).members(now, members(len(schedulers)))
+            rng.choice(schedulers).members(now, members(len(schedulers)))
         if now >= cold_at and schedulers[number].may_send_while_warming_up(now, "w"):
             schedulers[number].sent(now, KIND, "w", is_retry=False)
             sent.append(now)
-    return [moment for moment in sent if moment < until]
+    return [sent_at for sent_at in sent if sent_at < until]
 
 
 @settings(max_examples=30, deadline=None)
 @given(st.integers(1, 40), st.integers(0, 2**32), st.integers(0, 3))
-def test_all_schedulers_together_stay_within_what_a_cold_worker_may_receive(
-    count: int, seed: int, changes: int
-) -> None:
+def test_all_schedulers_together_keep_the_limit_of_a_cold_worker(count: int, seed: int, changes: int) -> None:
     sent = flood_cold_worker(fleet(count), seed, START + 2 * SECOND, changes)
     assert most_in_window(sent, SECOND) <= BOUND
 
 
-def test_hundreds_of_schedulers_stay_within_the_bound_and_use_it() -> None:
+def test_hundreds_of_schedulers_keep_the_limit_of_a_cold_worker_and_use_most_of_its_rate() -> None:
     sent = flood_cold_worker(fleet(350), 1, START + 2 * SECOND)
     assert most_in_window(sent, SECOND) <= BOUND
     assert len(sent) >= 4 * RATE * 0.6
 
 
-def test_seven_schedulers_use_most_of_what_the_worker_bears() -> None:
+def test_seven_schedulers_use_most_of_the_rate_of_a_cold_worker() -> None:
     sent = flood_cold_worker(fleet(7), 1, START + 2 * SECOND)
     assert len(sent) >= 4 * RATE * 0.7
 
@@ -112,7 +110,7 @@
     assert own == pytest.approx(fleet_limits.OWN_REGION_FRACTION * sum(shares))
 
 
-def test_a_scheduler_that_dies_is_counted_until_it_can_no_longer_be_sending() -> None:
+def test_dead_scheduler_is_counted_while_it_may_still_be_sending() -> None:
     """Guards against a network partition in which each side divides the whole limit among its own schedulers."""
     left, right = fleet(6), fleet(6)
     sides = [left[number] if number % 2 else right[number] for number in range(6)]
@@ -123,7 +121,7 @@
     assert most_in_window(sent, SECOND) <= BOUND
 
 
-def test_who_has_not_heard_of_any_scheduler_sends_nothing_to_a_cold_worker() -> None:
+def test_scheduler_that_knows_no_members_sends_nothing_to_a_cold_worker() -> None:
     alone = FleetLimits("edge-0", RETRY, COLD)
     alone.services(START, {KIND: WarmUpRate(RATE)})
     alone.listed(START, entry(cold_until=START + SECOND))
@@ -131,7 +129,7 @@
     assert alone.may_send_while_warming_up(START + 3 * SECOND, "w")
 
 
-def test_who_has_just_started_sends_nothing_to_a_cold_worker_yet() -> None:
+def test_scheduler_sends_nothing_to_a_cold_worker_until_it_has_settled() -> None:
     fresh = FleetLimits("edge-0", RETRY, COLD, clock_start=START)
     fresh.services(START, {KIND: WarmUpRate(RATE)})
     fresh.members(START, members(1))
@@ -140,7 +138,7 @@
     assert fresh.may_send_while_warming_up(START + 8 * SECOND, "w")
 
 
-def test_a_worker_that_can_be_used_again_is_taken_for_cold() -> None:
+def test_worker_that_becomes_usable_again_counts_as_cold() -> None:
     only = fleet(1)[0]
     later = START + 10 * SECOND
     only.listed(later, entry(state=WorkerState.DRAINING))
@@ -150,7 +148,7 @@
     assert not is_warming_up(only, later + 4 * SECOND)
 
 
-def test_what_was_sent_before_the_worker_turned_cold_counts() -> None:
+def test_requests_sent_before_a_worker_turned_cold_count() -> None:
     only = fleet(1)[0]
     for number in range(4):
         only.sent(START + SECOND + number, KIND, "w", is_retry=False)
@@ -158,14 +156,14 @@
     assert not only.may_send_while_warming_up(START + SECOND + 20, "w")
 
 
-def test_a_service_without_a_rate_has_no_cold_workers() -> None:
+def test_service_without_a_rate_has_no_cold_workers() -> None:
     only = fleet(1)[0]
     only.services(START, {KIND: WarmUpRate(0.0)})
     only.listed(START, entry(cold_until=START + SECOND))
     assert only.may_send_while_warming_up(START, "w")
 
 
-def test_a_worker_that_is_gone_is_forgotten() -> None:
+def test_gone_worker_is_forgotten() -> None:
     only = fleet(1)[0]
     only.listed(START, entry(cold_until=START + SECOND))
     only.listed(START, entry(state=WorkerState.GONE))
@@ -175,44 +173,44 @@
 # --- retries ----------------------------------------------------------------------------------
 
 
-def flood_repeats(schedulers: list[FleetLimits], seed: int) -> tuple[list[int], list[int]]:
+def flood_retries(schedulers: list[FleetLimits], seed: int) -> tuple[list[int], list[int]]:
     """Send requests at changing rates, with every scheduler retrying whenever it may.
 
     Return the times of the requests and of the retries, in nanoseconds.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     requests: list[int] = []
-    repeats: list[int] = []
+    retries: list[int] = []
     now = START
     while now < START + 40 * SECOND:
-        burst = chance.randrange(1, 4)
-        now += chance.randrange(1, 200 * MILLISECOND)
+        burst = rng.randrange(1, 4)
+        now += rng.randrange(1, 200 * MILLISECOND)
         for _ in range(burst):
-            scheduler = chance.choice(schedulers)
+            scheduler = rng.choice(schedulers)
             scheduler.arrived(now, KIND)
             requests.append(now)
         for scheduler in schedulers:
             while scheduler.may_retry(now, KIND):
                 scheduler.sent(now, KIND, "w", is_retry=True)
-                repeats.append(now)
-    return requests, repeats
+                retries.append(now)
+    return requests, retries
 
 
-def permitted(requests: list[int], end: int) -> float:
+def permitted_retries(requests: list[int], end: int) -> float:
     """Return the number of retries that the limit permits in the window that ends at `end`."""
     window = RETRY.window_ns
     counts = [
-        sum(end - window - back < request <= end - back for request in requests) for back in (0, window // 2, window)
+        sum(end - window - shift < request <= end - shift for request in requests) for shift in (0, window // 2, window)
     ]
     return RETRY.ratio * max(counts) + RETRY.slack
 
 
-def worst_excess(requests: list[int], repeats: list[int]) -> float:
+def worst_excess(requests: list[int], retries: list[int]) -> float:
     """Return the largest excess of a window's retries over the permitted number, negative if there is none."""
     return max(
         (
-            sum(end - RETRY.window_ns < repeat <= end for repeat in repeats) - permitted(requests, end)
-            for end in repeats
+            sum(end - RETRY.window_ns < retry <= end for retry in retries) - permitted_retries(requests, end)
+            for end in retries
         ),
         default=-1.0,
     )
@@ -220,11 +218,11 @@
 
 @settings(max_examples=10, deadline=None)
 @given(st.integers(1, 12), st.integers(0, 2**32))
-def test_repeats_of_all_schedulers_stay_within_the_budget(count: int, seed: int) -> None:
-    assert worst_excess(*flood_repeats(fleet(count), seed)) <= 0
+def test_retries_of_all_schedulers_stay_within_the_limit(count: int, seed: int) -> None:
+    assert worst_excess(*flood_retries(fleet(count), seed)) <= 0
 
 
-def test_who_hears_nothing_repeats_only_what_its_own_requests_earn() -> None:
+def test_scheduler_that_knows_no_members_retries_only_by_its_own_requests() -> None:
     alone = FleetLimits("edge-0", RETRY, COLD)
     assert not alone.may_retry(START, KIND)
     for _ in range(10):
@@ -234,7 +232,7 @@
     assert not alone.may_retry(START + SECOND, KIND)
 
 
-def test_a_first_send_is_no_repeat() -> None:
+def test_first_attempt_does_not_count_as_retry() -> None:
     only = fleet(1)[0]
     before = only.may_retry(START, KIND)
     for _ in range(500):
@@ -242,7 +240,7 @@
     assert only.may_retry(START, KIND) is before is True
 
 
-def test_the_window_slides() -> None:
+def test_window_count_drops_events_before_the_window() -> None:
     count = WindowCount(10 * SECOND)
     for second in range(20):
         count.add(second * SECOND)
@@ -253,7 +251,7 @@
 # --- planted faults: each must break a bound --------------------------------------------------
 
 
-def test_planted_buckets_that_hold_more_are_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_fault_of_larger_token_buckets_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def fill(self: FleetLimits, worker: fleet_limits.WarmingWorker, now: int) -> None:
         worker.own_rate_per_s = self._own_rate_per_s(worker, now)
         worker.tokens = min(5.0, worker.tokens + 5 * worker.own_rate_per_s * max(0, now - worker.filled_at) / SECOND)
@@ -263,12 +261,12 @@
     assert most_in_window(flood_cold_worker(fleet(7), 1, START + 2 * SECOND), SECOND) > BOUND
 
 
-def test_planted_share_that_is_not_divided_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_fault_of_an_undivided_rate_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(FleetLimits, "_own_rate_per_s", lambda self, worker, now: RATE)
     assert most_in_window(flood_cold_worker(fleet(7), 1, START + 2 * SECOND), SECOND) > BOUND
 
 
-def test_planted_hash_on_which_schedulers_do_not_agree_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_fault_of_hashes_that_differ_between_schedulers_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     shares = iter(range(10**9))
     monkeypatch.setattr(fleet_limits, "_pair_hash", lambda scheduler, worker: next(shares).to_bytes(8, "big"))
 
@@ -280,7 +278,7 @@
     assert most_in_window(flood_cold_worker(fleet(60), 1, START + 2 * SECOND), SECOND) > BOUND
 
 
-def test_planted_forgetting_of_who_was_just_cut_off_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_fault_of_forgetting_partitioned_schedulers_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(fleet_limits, "SCHEDULER_RETENTION_NS", -1)
     sides = fleet(8)
     for number, side in enumerate(sides):
@@ -288,8 +286,8 @@
     assert most_in_window(flood_cold_worker(sides, 3, START + 2 * SECOND), SECOND) > BOUND
 
 
-def test_planted_slack_that_is_not_divided_is_noticed() -> None:
+def test_planted_fault_of_undivided_slack_is_detected() -> None:
     schedulers = fleet(6)
     for scheduler in schedulers:
         scheduler._retry = replace(RETRY, slack=RETRY.slack * 6)
-    assert worst_excess(*flood_repeats(schedulers, 1)) > 0
+    assert worst_excess(*flood_retries(schedulers, 1)) > 0
--- a/tests/dispatch/test_health.py
+++ b/tests/dispatch/test_health.py
@@ -36,7 +36,7 @@
 from tests.support.planted_faults import parts_of, plant, tracked_request
 
 
-def test_a_late_start_cuts_the_cap_which_regrows() -> None:
+def test_late_start_lowers_the_concurrency_limit_which_grows_again() -> None:
     bench = Bench(entry("a"))
     bench.run_job(span=200 * MS)
     bench.job()
@@ -52,7 +52,7 @@
     assert len(of(bench.pass_time(200 * MS), StartAttempt)) == 1
 
 
-def test_full_with_nothing_of_ours_there_is_not_asked_again_at_once() -> None:
+def test_full_worker_without_own_attempts_is_not_tried_again_at_once() -> None:
     # Regression: a worker that answered FULL, with no attempt of this dispatcher in flight, became available again at
     # the same instant, in an endless loop.
     bench = Bench(entry("a"))
@@ -61,7 +61,7 @@
     assert len(of(bench.pass_time(3 * SECOND), StartAttempt)) == 1
 
 
-def test_a_fast_failing_worker_does_not_attract_the_work() -> None:
+def test_worker_that_fails_fast_does_not_attract_requests() -> None:
     # Regression: a worker that returns errors at once is always available and receives every request. For an unsafe
     # request, which must not be repeated, one error ejects the worker, because each error loses a request. Requests of
     # other classes are retried.
@@ -78,7 +78,7 @@
     assert errors == 1
 
 
-def retried(bench: Bench) -> bool:
+def run_safe_request(bench: Bench) -> bool:
     """Run one safe request, which fails at worker "a" and is then retried at "b"; return True if it failed."""
     name = f"j{bench.made}"
     worker, attempt = only(bench.job(), StartAttempt).worker, 0
@@ -91,22 +91,22 @@
     return failed
 
 
-def test_three_errors_rest_a_worker_whose_jobs_can_be_repeated() -> None:
+def test_three_errors_of_safe_requests_eject_a_worker() -> None:
     bench = Bench(entry("a"), entry("b"))
-    assert sum(retried(bench) for _ in range(20)) == 3
+    assert sum(run_safe_request(bench) for _ in range(20)) == 3
 
 
-def test_a_worker_back_from_its_rest_is_rested_again_at_its_next_error() -> None:
+def test_returned_worker_is_ejected_again_at_its_next_error() -> None:
     # Regression: after each short ejection the worker was ejected again only after three more errors.
     bench = Bench(entry("a"), entry("b"))
-    assert sum(retried(bench) for _ in range(20)) == 3
+    assert sum(run_safe_request(bench) for _ in range(20)) == 3
     for _ in range(2):
         for probe in of(bench.pass_time(SECOND), CheckHealth):
             bench.give(HealthCheckEnded(probe.worker, Outcome.OK))
-        assert sum(retried(bench) for _ in range(20)) == 1
+        assert sum(run_safe_request(bench) for _ in range(20)) == 1
 
 
-def test_a_failed_connection_rests_a_worker_until_a_probe_and_a_trial_job() -> None:
+def test_failed_connection_ejects_a_worker_until_a_health_check_and_a_trial_request() -> None:
     bench = Bench(entry("a"), entry("b"))
     first = only(bench.job(), StartAttempt).worker
     other = "b" if first == "a" else "a"
@@ -119,7 +119,7 @@
     assert [send.worker for send in sends].count(first) == 1
 
 
-def test_rests_grow_while_probes_fail() -> None:
+def test_ejections_grow_while_health_checks_fail() -> None:
     bench = Bench(entry("a"))
     bench.job(due=60 * SECOND)
     bench.ended("j0", "a", Outcome.CONNECT_FAILED)
@@ -132,7 +132,7 @@
     assert 20 <= probes <= 30  # health checks run after 100 ms, 200 ms, and then every 400 ms
 
 
-def test_a_silent_worker_loses_its_running_job_to_another() -> None:
+def test_running_request_of_an_unresponsive_worker_moves_to_another() -> None:
     # Regression: a worker behind a network partition ends no attempt; only its progress events stop.
     bench = Bench(entry("a"), entry("b"))
     worker = only(bench.job(due=20 * SECOND), StartAttempt).worker
@@ -143,13 +143,13 @@
     assert only(bench.pass_time(3 * SECOND), StartAttempt).worker != worker
 
 
-def test_a_queued_job_is_no_sign_of_silence() -> None:
+def test_queued_request_does_not_make_its_worker_unresponsive() -> None:
     bench = Bench(entry("a"))
     bench.job(due=20 * SECOND)
     assert of(bench.pass_time(5 * SECOND), StartAttempt | CancelAttempt | WriteLog) == []
 
 
-def test_a_job_that_never_starts_is_sent_again_and_keeps_nobody_from_its_worker() -> None:
+def test_request_that_never_starts_is_retried_and_its_worker_stays_available() -> None:
     """Regression: a connection stalled before the start was reported.
 
     The missing start then kept the worker unavailable for other requests.
@@ -176,7 +176,7 @@
     assert parts.acceptance.is_available(parts.endpoints.workers[lost], bench.now)
 
 
-def test_room_is_left_where_others_queue_too() -> None:
+def test_capacity_is_left_where_other_dispatchers_queue_too() -> None:
     # Regression: many dispatchers each kept one request queued at a worker; together these requests waited longer than
     # every latency target.
     for dispatchers, waits in ((20, True), (2, False)):
@@ -191,7 +191,7 @@
         assert len(of(bench.pass_time(200 * MS), StartAttempt)) == waits
 
 
-def test_a_restart_clears_rest_and_keys_and_is_cold() -> None:
+def test_restart_ends_an_ejection_and_begins_slow_start() -> None:
     bench = Bench(entry("a"), dispatchers=8)
     bench.job(due=60 * SECOND)
     bench.ended("j0", "a", Outcome.CONNECT_FAILED)
@@ -252,7 +252,7 @@
     return cast("CountingAcceptance", parts.acceptance), cast("CountingSlowStart", parts.slow_start)
 
 
-def test_many_cold_workers_are_not_asked_again_for_every_held_job_and_sweep() -> None:
+def test_cold_workers_are_not_tested_again_for_every_pending_request_and_sweep() -> None:
     # Regression: after a fleet grew by 100 workers the dispatcher needed more CPU time than it had, so that all answers
     # were late.
     workers, jobs = 100, 40
@@ -272,7 +272,7 @@
     assert slow_start.budgets <= workers  # only time has passed, so each budget is computed once for all sweeps
 
 
-def test_a_cold_worker_without_room_takes_a_job_when_its_share_has_grown() -> None:
+def test_cold_worker_accepts_a_request_once_its_budget_has_grown() -> None:
     # Regression: a cold worker whose rejection is cached and never tested again would stay unavailable for good.
     patient = replace(SAFE, late_value=0.5, deadline_ns=60 * SECOND)
     bench = Bench(entry("a", started_ns=START), classes=(patient,))
@@ -284,14 +284,14 @@
     assert len(of(bench.pass_time(60 * MS), StartAttempt)) == 1
 
 
-def test_asked_for_discovery_is_watched_and_asked_again_after_a_loss() -> None:
+def test_workers_are_watched_again_after_a_lost_list() -> None:
     bench = Bench(entry("a"), discovery=Discovery.ASKED)
     assert of(bench.last, WatchWorkers) == [WatchWorkers(True)]
     assert of(bench.give(WorkersListed(ListKind.LOST)), WatchWorkers) == []
     assert of(bench.pass_time(SECOND), WatchWorkers) == [WatchWorkers(True)]
 
 
-def test_lost_answers_do_not_keep_a_healed_worker_busy() -> None:
+def test_lost_answers_do_not_keep_a_recovered_worker_busy() -> None:
     # Regression: after a network partition the answers of requests that ran at the worker never arrive, and the worker
     # counted as busy with these requests.
     bench = Bench(entry("a"))
@@ -303,7 +303,7 @@
     assert only(bench.job(), StartAttempt).worker == "a"
 
 
-def test_no_sweep_is_asked_for_while_nothing_can_be_due() -> None:
+def test_no_sweep_is_scheduled_while_nothing_can_be_due() -> None:
     # Regression: hundreds of dispatchers that each sweep every few quanta need more CPU time than the machines have.
     bench = Bench(entry("a"))
     (sent,) = of(bench.job(), StartAttempt)
@@ -313,7 +313,7 @@
     assert all(when - bench.now >= 100 * MS for when, _ in bench.timers)
 
 
-def test_cold_workers_are_sent_to_in_turns_where_an_equal_part_holds_no_job() -> None:
+def test_dispatchers_take_turns_at_a_cold_worker_where_each_share_is_below_one_request() -> None:
     # Regression: with hundreds of dispatchers each equal share of the budget is less than one request, so a zone
     # that returned after an outage received no requests.
     dispatchers, sends = 200, 0
@@ -326,15 +326,15 @@
     assert 0 < sends * 100 * MS <= budget
 
 
-def crowd(*workers: WorkerEntry) -> Bench:
+def large_fleet(*workers: WorkerEntry) -> Bench:
     """Return one dispatcher of twenty, without load reports, where a request may have only one attempt in flight."""
     return Bench(*workers, dispatchers=20, limits=replace(LIMITS, second_copies=False))
 
 
-def test_a_late_start_costs_a_worker_its_next_turn_among_a_crowd() -> None:
+def test_late_start_skips_a_worker_for_one_round_in_a_large_fleet() -> None:
     # Regression: a dispatcher that rarely sends to a slow worker does not learn its limit, so slow workers get as many
     # requests as fast ones and are overloaded.
-    bench = crowd(entry("a"), entry("b"))
+    bench = large_fleet(entry("a"), entry("b"))
     for _ in range(2):
         bench.run_job()
     late = only(bench.job(), StartAttempt).worker
@@ -348,14 +348,14 @@
     assert late in {bench.run_job(), bench.run_job()}
 
 
-def test_a_waiting_keyed_job_moves_among_a_crowd_while_queues_are_short() -> None:
+def test_queued_keyed_request_moves_only_while_queues_are_short_in_a_large_fleet() -> None:
     # Regression: where a cancelled attempt still occupies its queue, moving every request fills several queues for each
     # request, and all workers are overloaded.
-    bench = crowd(*(entry(f"w{number}") for number in range(6)))
+    bench = large_fleet(*(entry(f"w{number}") for number in range(6)))
     bench.run_job()
     bench.job("book")
     assert len(of(bench.pass_time(50 * MS), CancelAttempt)) == 1
-    full = crowd(*(entry(f"w{number}") for number in range(6)))
+    full = large_fleet(*(entry(f"w{number}") for number in range(6)))
     full.run_job()
     for _ in range(6):
         worker = only(full.job(), StartAttempt).worker
@@ -366,7 +366,7 @@
     assert of(full.pass_time(50 * MS), CancelAttempt) == []
 
 
-def test_what_nobody_took_is_offered_only_where_something_changed() -> None:
+def test_pending_requests_are_tested_only_against_changed_workers() -> None:
     # Regression: after a deployment grew to 100 workers, testing all of them again at every event exceeded its CPU
     # allowance, and the deployment was cut off.
     bench = Bench(*(entry(f"w{number}") for number in range(20)))
@@ -383,7 +383,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.BROKEN, Outcome.UNSENT])
-def test_one_broken_connection_rests_nobody_and_two_without_a_sign_of_work_do(outcome: Outcome) -> None:
+def test_worker_is_ejected_after_two_broken_connections_without_activity_between(outcome: Outcome) -> None:
     """Regression: every broken connection ejected its worker.
 
     Requests are killed and connections break also at healthy workers, which then became unavailable.
@@ -398,7 +398,7 @@
     assert of(bench.last, WriteLog) != []
 
 
-def test_a_break_before_the_job_was_sent_is_no_try_and_no_sign_of_a_full_ring() -> None:
+def test_connection_broken_before_the_send_does_not_count_as_attempt() -> None:
     bench = Bench(*(entry(name) for name in "abc"), limits=replace(LIMITS, max_attempts=1))
     worker = only(bench.job("pay", due=60 * SECOND), StartAttempt).worker
     other = only(bench.ended("j0", worker, Outcome.UNSENT), StartAttempt).worker
@@ -408,7 +408,7 @@
     assert of(given, FailRequest) != []
 
 
-def test_a_job_whose_notes_stop_is_sent_again_and_is_no_load_while_its_worker_is_well() -> None:
+def test_request_without_progress_is_retried_and_no_longer_counts_as_load() -> None:
     """Regression: a request whose connection had stalled still counted as load, and so occupied a slot for ever."""
     bench = Bench(entry("a"), entry("b"))
     worker = only(bench.job(due=4 * SECOND), StartAttempt).worker
@@ -428,7 +428,7 @@
     assert not stalled.ejected_until
 
 
-def test_sweeps_are_asked_for_at_whole_microseconds() -> None:
+def test_sweeps_are_scheduled_at_whole_microseconds() -> None:
     """Guards against skipped sweeps.
 
     A clock of whole microseconds fired a timer up to a microsecond early, and the dispatcher ignored the timer as not
--- a/tests/dispatch/test_settings.py
+++ b/tests/dispatch/test_settings.py
@@ -10,7 +10,7 @@
 from canvasbeam.dispatch.settings import DispatchLimits, RequestClass, Rules, Tenant
 from tests.support.helpers import SAFE, settings
 
-IMPOSSIBLE: dict[str, Callable[[], Any]] = {
+OUT_OF_RANGE: dict[str, Callable[[], Any]] = {
     "own_zone": lambda: settings(own_zone="nowhere"),
     "classes": lambda: settings(classes=()),
     "dispatchers": lambda: settings(dispatchers=0),
@@ -28,13 +28,13 @@
 }
 
 
-@pytest.mark.parametrize("name", IMPOSSIBLE)
-def test_impossible_settings_name_the_field(name: str) -> None:
+@pytest.mark.parametrize("name", OUT_OF_RANGE)
+def test_setting_out_of_range_raises_an_error_that_names_the_field(name: str) -> None:
     with pytest.raises(ValueError, match=f"^{name} "):
-        IMPOSSIBLE[name]()
+        OUT_OF_RANGE[name]()
 
 
-def test_a_class_named_twice_or_tied_to_no_known_kind_is_refused() -> None:
+def test_duplicate_class_or_class_of_an_unknown_kind_is_rejected() -> None:
     with pytest.raises(ValueError, match="classes must not name a class twice"):
         settings(classes=(SAFE, SAFE))
     with pytest.raises(ValueError, match=r"classes\.kind"):
--- a/tests/dispatch/test_system_placement.py
+++ b/tests/dispatch/test_system_placement.py
@@ -42,22 +42,22 @@
 TOKENS_OF_500_MS = round(500 * MS / PREFILL_NS_PER_TOKEN)
 
 
-class Limits:
+class FakeFleetLimits:
     """A `FleetLimiter` with answers set by the test, which records the sends."""
 
     def __init__(self) -> None:
-        self.repeats_permitted = True
-        self.cold: set[str] = set()
+        self.retries_permitted = True
+        self.cold_workers: set[str] = set()
         self.sends: list[tuple[str, bool]] = []
 
     def arrived(self, now: int, kind: str) -> None:
         pass
 
     def may_retry(self, now: int, kind: str) -> bool:
-        return self.repeats_permitted
+        return self.retries_permitted
 
     def may_send_while_warming_up(self, now: int, worker: str) -> bool:
-        return worker not in self.cold
+        return worker not in self.cold_workers
 
     def sent(self, now: int, kind: str, worker: str, repeat: bool) -> None:
         self.sends.append((worker, repeat))
@@ -74,7 +74,7 @@
     return PromptEstimate(tokens, 50, tuple(PromptPart(name, size) for name, size in parts))
 
 
-class System(TimedDriver):
+class SystemDriver(TimedDriver):
     """Drives one dispatcher with the serving system's settings."""
 
     def __init__(
@@ -87,7 +87,7 @@
             "classes": (), "classes_later": True, "zones": ("here", "there"), "own_zone": "here", "batches": True,
             "priority_first": True, "early_rejection_share": 0.2, "limits": limits, "quantum_ns": 2 * MS,
         }  # fmt: skip
-        self.limits = Limits()
+        self.limits = FakeFleetLimits()
         self.engines = EngineExpectations("here")
         self.engines.set_engines({LLM: EngineCapacity(kv_cache_tokens=200_000)})
         self.dispatcher = Dispatcher(Settings(**{**settings, **changes}), 1, self.limits, self.engines)
@@ -123,14 +123,14 @@
 # --- classes ----------------------------------------------------------------------------------
 
 
-def test_settings_without_classes_are_refused_unless_these_come_later() -> None:
+def test_settings_without_classes_are_rejected_unless_classes_come_later() -> None:
     with pytest.raises(ValueError, match="classes"):
         Settings(classes=(), zones=("here",), own_zone="here")
     Settings(classes=(), zones=("here",), own_zone="here", classes_later=True)
 
 
-def test_a_class_that_is_new_is_served_and_a_job_keeps_the_class_that_it_came_with() -> None:
-    system = System(worker("a", slots=1), worker("b", kind=LOOKUP))
+def test_new_class_is_served_and_pending_requests_keep_their_class() -> None:
+    system = SystemDriver(worker("a", slots=1), worker("b", kind=LOOKUP))
     assert sent_to(system.job()) == ["a"]
     assert system.job() == []
     system.give(ClassesChanged((replace(CHAT, name="new", kind=LOOKUP),), (LLM, LOOKUP)))
@@ -138,35 +138,35 @@
     assert sent_to(system.ended("j0", "a")) == ["a"]
 
 
-def test_changed_timeouts_do_not_make_new_jobs_look_like_repeats() -> None:
-    system = System(worker("a", slots=1))
+def test_changed_timeouts_do_not_make_new_requests_look_like_retries() -> None:
+    system = SystemDriver(worker("a", slots=1))
     system.job(due=5 * SECOND)
     system.give(ClassesChanged((CHAT, BRIEF), (LLM,)))
     system.job(due=3 * SECOND)
     assert system.pass_time(200 * MS) == [RejectRequest("j1", 300 * MS)]
 
 
-def test_a_class_runs_only_in_its_homes() -> None:
+def test_class_runs_only_in_its_home_zones() -> None:
     homes = replace(CHAT, homes=("there",))
-    system = System(worker("a"), worker("b", "there"), classes=(homes,))
+    system = SystemDriver(worker("a"), worker("b", "there"), classes=(homes,))
     assert sent_to(system.job()) == ["b"]
 
 
-def test_a_job_goes_only_to_workers_that_hold_its_model() -> None:
-    system = System(worker("a", models=("other",)), worker("b", "there", models=("wanted", "other")))
+def test_request_goes_only_to_workers_with_its_model() -> None:
+    system = SystemDriver(worker("a", models=("other",)), worker("b", "there", models=("wanted", "other")))
     wanted = replace(prompt(), model="wanted")
     assert sent_to(system.job(prompt=wanted)) == ["b"]
     assert sent_to(system.job(prompt=replace(prompt(), model="other"))) == ["a"]
     assert system.job(prompt=replace(prompt(), model="third")) == []
 
 
-def test_a_worker_that_does_not_tell_its_models_may_hold_any() -> None:
-    system = System(worker("a"))
+def test_worker_that_lists_no_models_may_get_any_model() -> None:
+    system = SystemDriver(worker("a"))
     assert sent_to(system.job(prompt=replace(prompt(), model="wanted"))) == ["a"]
 
 
-def test_a_job_goes_to_no_more_workers_than_its_class_permits() -> None:
-    system = System(worker("a"), worker("b"), worker("c"))
+def test_request_is_sent_to_no_more_workers_than_its_class_permits() -> None:
+    system = SystemDriver(worker("a"), worker("b"), worker("c"))
     first = sent_to(system.job("brief"))[0]
     second = sent_to(system.ended("j0", first, Outcome.FULL))
     assert len(second) == 1
@@ -174,8 +174,8 @@
     assert system.ended("j0", second[0], Outcome.FULL, attempt=1) == [RejectRequest("j0", 300 * MS)]
 
 
-def test_a_refused_connection_is_no_send() -> None:
-    system = System(worker("a"), worker("b"))
+def test_refused_connection_does_not_count_as_attempt() -> None:
+    system = SystemDriver(worker("a"), worker("b"))
     first = sent_to(system.job("chat"))[0]
     other = sent_to(system.ended("j0", first, Outcome.CONNECT_FAILED))
     assert other == [{"a": "b", "b": "a"}[first]]
@@ -185,29 +185,29 @@
 # --- rings and round-robin --------------------------------------------------------------------
 
 
-def test_turns_are_even_in_the_own_region_though_jobs_have_not_begun() -> None:
-    system = System(worker("a"), worker("b"), worker("c", "there"))
+def test_round_robin_is_even_in_the_own_region_before_requests_start() -> None:
+    system = SystemDriver(worker("a"), worker("b"), worker("c", "there"))
     names = [sent_to(system.job())[0] for _ in range(6)]
     assert sorted(names) == ["a", "a", "a", "b", "b", "b"]
 
 
-def test_a_job_spills_when_the_own_region_would_start_it_late_and_returns_after() -> None:
-    system = System(worker("a"), worker("c", "there"))
+def test_request_spills_to_another_region_only_while_the_own_region_would_be_late() -> None:
+    system = SystemDriver(worker("a"), worker("c", "there"))
     assert sent_to(system.job("brief", prompt=prompt(TOKENS_OF_500_MS // 2))) == ["a"]
     assert sent_to(system.job("brief", prompt=prompt(TOKENS_OF_500_MS // 2))) == ["c"]
     system.opened("j0", "a")
     assert sent_to(system.job("brief", prompt=prompt(TOKENS_OF_500_MS // 2))) == ["a"]
 
 
-def test_no_more_jobs_than_slots_are_sent() -> None:
-    system = System(worker("a", kind=LOOKUP, slots=2), worker("b", "there", kind=LOOKUP, slots=2))
+def test_no_more_requests_than_slots_are_sent() -> None:
+    system = SystemDriver(worker("a", kind=LOOKUP, slots=2), worker("b", "there", kind=LOOKUP, slots=2))
     names = [sent_to(system.job("read", prompt=None))[0] for _ in range(4)]
     assert names == ["a", "a", "b", "b"]
     assert system.job("read", prompt=None) == []
 
 
-def test_an_overload_answer_marks_a_worker_busy_for_a_while() -> None:
-    system = System(worker("a"), worker("b", "there"))
+def test_worker_that_answers_full_is_skipped_for_a_while() -> None:
+    system = SystemDriver(worker("a"), worker("b", "there"))
     assert sent_to(system.job("brief")) == ["a"]
     assert sent_to(system.ended("j0", "a", Outcome.FULL)) == ["b"]
     assert sent_to(system.job("brief")) == ["b"]
@@ -218,21 +218,21 @@
 # --- pending requests and rejection -----------------------------------------------------------
 
 
-def test_a_job_without_any_worker_is_held_briefly_and_then_refused_with_advice() -> None:
-    system = System()
+def test_request_without_any_worker_is_rejected_with_retry_advice_after_a_short_wait() -> None:
+    system = SystemDriver()
     assert system.job() == []
     assert system.pass_time(90 * MS) == []
     assert system.pass_time(35 * MS) == [RejectRequest("j0", 300 * MS)]
 
 
-def test_a_held_job_goes_to_a_worker_that_comes() -> None:
-    system = System()
+def test_pending_request_goes_to_a_new_worker() -> None:
+    system = SystemDriver()
     system.job()
     assert sent_to(system.give(WorkersListed(ListKind.CHANGES, (worker("a"),)))) == ["a"]
 
 
-def test_a_job_that_comes_back_is_held_and_sent_though_it_is_late() -> None:
-    system = System(worker("a", slots=1))
+def test_client_retry_stays_pending_and_is_sent_although_late() -> None:
+    system = SystemDriver(worker("a", slots=1))
     system.job(due=5 * SECOND)
     system.opened("j0", "a")
     system.job(due=4 * SECOND)
@@ -240,8 +240,8 @@
     assert sent_to(system.ended("j0", "a")) == ["a"]
 
 
-def test_urgent_jobs_go_first_among_those_held() -> None:
-    system = System(worker("a", slots=1))
+def test_pending_request_of_higher_priority_goes_first() -> None:
+    system = SystemDriver(worker("a", slots=1))
     system.job()
     system.job("chat")
     system.job("brief")
@@ -251,8 +251,8 @@
 # --- unresponsive workers ---------------------------------------------------------------------
 
 
-def test_a_worker_that_starts_nothing_and_says_nothing_is_rested_and_safe_jobs_move() -> None:
-    system = System(worker("a"), worker("b", "there"))
+def test_unresponsive_worker_is_ejected_and_its_safe_requests_move() -> None:
+    system = SystemDriver(worker("a"), worker("b", "there"))
     assert sent_to(system.job("brief")) == ["a"]
     assert sent_to(system.job("chat")) == ["a"]
     given = system.pass_time(900 * MS)
@@ -262,8 +262,8 @@
     assert sent_to(system.job("chat")) == ["b"]
 
 
-def test_a_worker_whose_streams_go_on_is_not_silent() -> None:
-    system = System(worker("a"))
+def test_worker_that_opens_a_stream_is_not_unresponsive() -> None:
+    system = SystemDriver(worker("a"))
     system.job("brief")
     system.job("brief")
     system.pass_time(600 * MS)
@@ -272,8 +272,8 @@
     assert system.dispatcher.ejected_workers() == []
 
 
-def test_jobs_that_run_at_a_worker_that_failed_others_are_not_cut() -> None:
-    system = System(worker("a"), worker("b"))
+def test_running_requests_of_an_ejected_worker_are_not_cancelled() -> None:
+    system = SystemDriver(worker("a"), worker("b"))
     first = sent_to(system.job("brief"))[0]
     system.job("brief")
     system.job("brief")
@@ -285,24 +285,24 @@
 # --- limits that all schedulers share ---------------------------------------------------------
 
 
-def test_no_repeat_is_sent_without_budget() -> None:
-    system = System(worker("a"), worker("b"))
-    system.limits.repeats_permitted = False
+def test_no_retry_is_sent_without_retry_budget() -> None:
+    system = SystemDriver(worker("a"), worker("b"))
+    system.limits.retries_permitted = False
     first = sent_to(system.job("brief"))[0]
     assert system.ended("j0", first, Outcome.FULL) == [RejectRequest("j0", 300 * MS)]
 
 
-def test_a_second_send_and_a_stream_that_goes_on_are_told_as_repeats() -> None:
-    system = System(worker("a"), worker("b"))
+def test_second_attempt_and_resumed_stream_count_as_retries() -> None:
+    system = SystemDriver(worker("a"), worker("b"))
     first = sent_to(system.job("brief"))[0]
     system.ended("j0", first, Outcome.FULL)
     system.job("brief", repeat=True)
     assert [repeat for _, repeat in system.limits.sends] == [False, True, True]
 
 
-def test_a_cold_worker_without_room_is_passed_over() -> None:
-    system = System(worker("a"), worker("b"))
-    system.limits.cold = {"a"}
+def test_cold_worker_without_budget_is_skipped() -> None:
+    system = SystemDriver(worker("a"), worker("b"))
+    system.limits.cold_workers = {"a"}
     assert [sent_to(system.job())[0] for _ in range(3)] == ["b", "b", "b"]
 
 
@@ -311,35 +311,35 @@
 SHARED = prompt(3000, ("shared", 2900), ("own", 100))
 
 
-def test_turns_stay_even_where_no_affinity_is_set() -> None:
-    system = System(worker("a"), worker("b"))
+def test_round_robin_stays_even_without_prefix_affinity() -> None:
+    system = SystemDriver(worker("a"), worker("b"))
     names = [sent_to(system.job(prompt=SHARED))[0] for _ in range(4)]
     assert sorted(names) == ["a", "a", "b", "b"]
 
 
-def test_the_worker_that_keeps_a_part_is_taken_within_the_bound() -> None:
-    system = System(worker("a"), worker("b"), max_round_robin_lead=2.0)
+def test_worker_with_a_cached_prefix_is_preferred_within_the_maximum_lead() -> None:
+    system = SystemDriver(worker("a"), worker("b"), max_round_robin_lead=2.0)
     names = []
     for number in range(20):
         names += sent_to(system.job(prompt=SHARED))
         system.opened(f"j{number}", names[-1])
     assert names[0] == names[1]
-    ahead = [names[: end + 1].count("a") - names[: end + 1].count("b") for end in range(20)]
-    assert max(map(abs, ahead)) <= 2
+    leads = [names[: end + 1].count("a") - names[: end + 1].count("b") for end in range(20)]
+    assert max(map(abs, leads)) <= 2
 
 
-def test_prompts_without_shared_parts_take_even_turns_with_affinity() -> None:
-    system = System(worker("a"), worker("b"), max_round_robin_lead=2.0)
+def test_prompts_without_shared_prefixes_use_even_round_robin() -> None:
+    system = SystemDriver(worker("a"), worker("b"), max_round_robin_lead=2.0)
     names = [sent_to(system.job(prompt=prompt(100, (f"p{number}", 100))))[0] for number in range(6)]
     assert sorted(names) == ["a", "a", "a", "b", "b", "b"]
 
 
-def test_a_known_queue_weighs_against_a_part_that_is_kept() -> None:
+def test_known_prefill_queue_outweighs_a_cached_prefix() -> None:
     """Guards against the thundering herd of a cold start.
 
     Where only cached prefixes count, all nodes send the requests that share a prefix to one worker.
     """
-    system = System(worker("a"), worker("b"), max_round_robin_lead=4.0)
+    system = SystemDriver(worker("a"), worker("b"), max_round_robin_lead=4.0)
     first = sent_to(system.job(prompt=prompt(9000, ("common", 2500), ("own-1", 6500))))[0]
     system.opened("j0", first)
     for _ in range(3):
--- a/tests/dispatch/test_system_placement_property.py
+++ b/tests/dispatch/test_system_placement_property.py
@@ -27,13 +27,13 @@
 from canvasbeam.dispatch.records import TrackedRequest
 from canvasbeam.dispatch.retry_policy import RetryPolicy
 from canvasbeam.dispatch.settings import Effect, RequestClass
-from tests.dispatch.test_system_placement import BRIEF, CHAT, LLM, LOOKUP, READ, System
+from tests.dispatch.test_system_placement import BRIEF, CHAT, LLM, LOOKUP, READ, SystemDriver
 from tests.support.helpers import MS, SECOND
 
 MODELS = ("m", "n")
 HOME = replace(CHAT, name="home", homes=("there",))
 CLASSES = (CHAT, BRIEF, READ, HOME)
-ENDS = (
+OUTCOMES = (
     Outcome.OK, Outcome.OK, Outcome.OK, Outcome.FULL, Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.UNSENT,
     Outcome.RESET, Outcome.BROKEN, Outcome.TIMED_OUT, Outcome.MOOT,
 )  # fmt: skip
@@ -59,24 +59,24 @@
     sends: list[Send] = field(default_factory=list)
     answers: int = 0
 
-    def out(self) -> list[int]:
+    def in_flight(self) -> list[int]:
         return [number for number, send in enumerate(self.sends) if send.outcome is None]
 
 
-class World:
+class CheckedWorld:
     """Simulates workers, clients and a transport that keep to the dispatcher's interface, and checks every action."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
-        self.system = System(classes=CLASSES, max_round_robin_lead=self.chance.choice((0.0, 4.0)))
+        self.rng = random.Random(seed)
+        self.system = SystemDriver(classes=CLASSES, max_round_robin_lead=self.rng.choice((0.0, 4.0)))
         self.entries: dict[str, WorkerEntry] = {}
         self.requests: dict[str, Request] = {}
 
-    def play(self, steps: int) -> None:
+    def run(self, steps: int) -> None:
         for _ in range(6):
             self.list_worker()
         for _ in range(steps):
-            self.chance.choices(
+            self.rng.choices(
                 (self.arrive, self.open_stream, self.end, self.list_worker, self.leave, self.wait),
                 weights=(8, 6, 8, 1, 1, 6),
             )[0]()
@@ -84,7 +84,7 @@
 
     def finish(self) -> None:
         """Let 20 s pass without new events; every request must then have its answer."""
-        self.act(self.system.pass_time(20 * SECOND))
+        self.apply(self.system.pass_time(20 * SECOND))
         for name, request in self.requests.items():
             if request.answers != 1 and not any(send.opened for send in request.sends):
                 raise RuleBrokenError(f"request {name} has {request.answers} answers, expected 1")
@@ -92,77 +92,77 @@
     # --- events to the dispatcher -----------------------------------------------------------------
 
     def arrive(self) -> None:
-        job_class = self.chance.choice(CLASSES)
+        job_class = self.rng.choice(CLASSES)
         name = f"j{self.system.made}"
         self.system.made += 1
         prompt = None
         if job_class.kind == LLM:
-            part = PromptPart(f"p{self.chance.randrange(4)}", 2000)
-            tokens = 2000 + self.chance.randrange(10_000)
-            prompt = PromptEstimate(tokens, 200, (part,), self.chance.choice(MODELS))
-        due = self.system.now + self.chance.randrange(10, 5000) * MS
-        job = RequestArrived(name, job_class.name, due, prompt=prompt, repeat=self.chance.random() < 0.1)
+            part = PromptPart(f"p{self.rng.randrange(4)}", 2000)
+            tokens = 2000 + self.rng.randrange(10_000)
+            prompt = PromptEstimate(tokens, 200, (part,), self.rng.choice(MODELS))
+        due = self.system.now + self.rng.randrange(10, 5000) * MS
+        job = RequestArrived(name, job_class.name, due, prompt=prompt, repeat=self.rng.random() < 0.1)
         self.requests[name] = Request(job, job_class)
-        self.system.limits.repeats_permitted = self.chance.random() < 0.7
-        self.act(self.system.give(job))
+        self.system.limits.retries_permitted = self.rng.random() < 0.7
+        self.apply(self.system.give(job))
 
-    def running(self) -> Iterator[tuple[str, int]]:
+    def attempts_in_flight(self) -> Iterator[tuple[str, int]]:
         for name, request in self.requests.items():
-            for number in request.out():
+            for number in request.in_flight():
                 yield name, number
 
-    def some_running(self) -> tuple[str, int] | None:
-        running = list(self.running())
-        return self.chance.choice(running) if running else None
+    def choose_attempt_in_flight(self) -> tuple[str, int] | None:
+        attempts_in_flight = list(self.attempts_in_flight())
+        return self.rng.choice(attempts_in_flight) if attempts_in_flight else None
 
     def open_stream(self) -> None:
-        found = self.some_running()
-        if found is not None:
-            name, number = found
+        chosen = self.choose_attempt_in_flight()
+        if chosen is not None:
+            name, number = chosen
             send = self.requests[name].sends[number]
             if not send.opened and self.requests[name].job_class.streams:
                 send.opened = True
-                self.act(self.system.opened(name, send.worker, number))
+                self.apply(self.system.opened(name, send.worker, number))
 
     def end(self) -> None:
-        found = self.some_running()
-        if found is None:
+        chosen = self.choose_attempt_in_flight()
+        if chosen is None:
             return
-        name, number = found
+        name, number = chosen
         request = self.requests[name]
         send = request.sends[number]
-        send.outcome = self.chance.choice(ENDS)
+        send.outcome = self.rng.choice(OUTCOMES)
         final = send.outcome is Outcome.OK or send.opened
         if final:
             request.answers += not request.answers
-        self.act(self.system.give(AttemptEnded(name, number, send.worker, send.outcome, final=final)))
+        self.apply(self.system.give(AttemptEnded(name, number, send.worker, send.outcome, final=final)))
 
     def list_worker(self) -> None:
-        name = f"w{self.chance.randrange(8)}"
+        name = f"w{self.rng.randrange(8)}"
         entry = WorkerEntry(
             name,
-            self.chance.choice(("here", "there")),
+            self.rng.choice(("here", "there")),
             LLM if int(name[1]) < 6 else LOOKUP,
-            state=self.chance.choice((WorkerState.LIVE, WorkerState.LIVE, WorkerState.DRAINING, WorkerState.GONE)),
-            slots=self.chance.choice((1, 4, 64)),
-            models=self.chance.choice(((), ("m",), MODELS)),
+            state=self.rng.choice((WorkerState.LIVE, WorkerState.LIVE, WorkerState.DRAINING, WorkerState.GONE)),
+            slots=self.rng.choice((1, 4, 64)),
+            models=self.rng.choice(((), ("m",), MODELS)),
         )
         self.entries[name] = entry
-        self.act(self.system.give(WorkersListed(ListKind.CHANGES, (entry,))))
+        self.apply(self.system.give(WorkersListed(ListKind.CHANGES, (entry,))))
 
     def leave(self) -> None:
         waiting = [name for name, request in self.requests.items() if not request.answers]
         if waiting:
-            name = self.chance.choice(waiting)
+            name = self.rng.choice(waiting)
             self.requests[name].answers = 1
-            self.act(self.system.give(ClientDisconnected(name)))
+            self.apply(self.system.give(ClientDisconnected(name)))
 
     def wait(self) -> None:
-        self.act(self.system.pass_time(self.chance.choice((1, 20, 300, 1500)) * MS))
+        self.apply(self.system.pass_time(self.rng.choice((1, 20, 300, 1500)) * MS))
 
     # --- actions of the dispatcher ----------------------------------------------------------------
 
-    def act(self, actions: list[Action]) -> None:
+    def apply(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case StartAttempt(name, worker):
@@ -176,7 +176,7 @@
                     if send.outcome is None:
                         send.outcome = Outcome.CANCELLED
                         ended = AttemptEnded(name, number, send.worker, Outcome.CANCELLED)
-                        self.act(self.system.give(ended))
+                        self.apply(self.system.give(ended))
 
     def check_send(self, name: str, worker: str) -> None:
         request, entry = self.requests[name], self.entries[worker]
@@ -184,7 +184,7 @@
             raise RuleBrokenError(f"request {name} is sent after its answer")
         if entry.state is not WorkerState.LIVE or not entry.may_run(request.job_class, request.job):
             raise RuleBrokenError(f"request {name} is sent to worker {worker}, which may not run it")
-        if request.out():
+        if request.in_flight():
             raise RuleBrokenError(f"request {name} has two attempts in flight")
         not_sent = (Outcome.CONNECT_FAILED, Outcome.UNSENT)
         counted = [send for send in request.sends if send.outcome not in not_sent]
@@ -193,62 +193,62 @@
         may_have_run = [attempt for attempt in counted if attempt.outcome is not None and not attempt.outcome.never_ran]
         if request.job_class.effect is Effect.UNSAFE and may_have_run:
             raise RuleBrokenError(f"unsafe request {name} is sent again although it may have run")
-        if (counted or request.job.repeat) and not self.system.limits.repeats_permitted:
+        if (counted or request.job.repeat) and not self.system.limits.retries_permitted:
             raise RuleBrokenError(f"request {name} is retried without retry budget")
 
-    def check_answer(self, name: str, promises: bool) -> None:
+    def check_answer(self, name: str, is_rejection: bool) -> None:
         request = self.requests[name]
         if request.answers:
             raise RuleBrokenError(f"request {name} is answered twice")
         may_have_run = any(send.outcome is None or not send.outcome.never_ran for send in request.sends)
-        if promises and may_have_run and request.job_class.effect is not Effect.SAFE:
+        if is_rejection and may_have_run and request.job_class.effect is not Effect.SAFE:
             raise RuleBrokenError(f"request {name} is rejected as safe to retry although it may have run")
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 2**32))
-def test_no_rule_is_broken(seed: int) -> None:
-    World(seed).play(150)
+def test_random_events_break_no_rule(seed: int) -> None:
+    CheckedWorld(seed).run(150)
 
 
-def finds_fault() -> bool:
+def detects_fault() -> bool:
     for seed in range(60):
         try:
-            World(seed).play(150)
+            CheckedWorld(seed).run(150)
         except RuleBrokenError:
             return True
     return False
 
 
-def test_planted_fault_of_an_unsafe_repeat_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_fault_of_an_unsafe_retry_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(TrackedRequest, "possibly_executed", lambda self: [])
-    assert finds_fault()
+    assert detects_fault()
 
 
-def test_planted_fault_of_too_many_attempts_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_fault_of_too_many_attempts_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(RetryPolicy, "_max_attempts", lambda self, request: 5)
-    assert finds_fault()
+    assert detects_fault()
 
 
-def test_planted_fault_of_a_repeat_without_budget_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_fault_of_a_retry_without_budget_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(RetryPolicy, "_is_within_fleet_limits", lambda self, request, now: True)
-    assert finds_fault()
+    assert detects_fault()
 
 
-def test_planted_fault_of_a_foreign_worker_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_fault_of_a_worker_of_another_kind_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(WorkerEntry, "may_run", lambda self, job_class, job: True)
-    real = World.check_send
+    real = CheckedWorld.check_send
 
-    def check(self: World, name: str, worker: str) -> None:
+    def check(self: CheckedWorld, name: str, worker: str) -> None:
         request, entry = self.requests[name], self.entries[worker]
         if request.job_class.kind != entry.kind:
             raise RuleBrokenError(f"request {name} is sent to a worker of another kind")
         real(self, name, worker)
 
-    monkeypatch.setattr(World, "check_send", check)
-    assert finds_fault()
+    monkeypatch.setattr(CheckedWorld, "check_send", check)
+    assert detects_fault()
 
 
-def test_planted_fault_of_a_job_that_is_never_answered_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_fault_of_an_unanswered_request_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(OpenRequests, "reject_or_fail", lambda self, request: None)
-    assert finds_fault()
+    assert detects_fault()
