--- a/tests/dispatch/test_crowd.py
+++ b/tests/dispatch/test_crowd.py
@@ -141,7 +141,7 @@
 
 
 def test_preempted_request_ejects_no_worker_in_a_large_fleet() -> None:
-    """Guards against ejections for preempted requests: each kept a healthy worker idle and cost a health check."""
+    """Guards against ejection for a preempted request, which kept a healthy worker idle and cost a health check."""
     urgent = RequestClass("urgent", latency_target_ns=SECOND, deadline_ns=20 * SECOND, priority=1)
     for dispatchers, probes in ((40, 0), (1, 1)):
         bench = Bench(entry("here0"), classes=(SAFE, urgent), **{**LIVE_WEIGHTS, "dispatchers": dispatchers})
@@ -210,7 +210,7 @@
         )  # fmt: skip
         dispatcher.handle(START, [WorkersListed(ListKind.WARM_COPY, (cold,), 1)])
         now = START
-        for step in range(300):  # 3 s with one request every 0.3 s, each served at once
+        for step in range(300):  # 3 s in which one request arrives every 0.3 s and is served at once
             now += 10 * MS
             events: list[Event] = [TimerFired("sweep")]
             if step % 30 == 0:
@@ -250,7 +250,7 @@
     worst, request_count = 0.0, 0
     for step in range(400):
         now = START + step * 10 * MS
-        if step % 50 == 0:  # every 0.5 s an endpoint list with the current load
+        if step % 50 == 0:  # every 0.5 s the dispatchers get a list with the current load
             listed = [
                 entry(f"w{place}", kind=kinds[place], weight=size / (1 + load[place] / 4))
                 for place, size in enumerate(sizes)
--- a/tests/dispatch/test_health.py
+++ b/tests/dispatch/test_health.py
@@ -196,7 +196,7 @@
     bench.job(due=60 * SECOND)
     bench.ended("j0", "a", Outcome.CONNECT_FAILED)
     given = bench.listed(entry("a", started_ns=bench.now))
-    # A fifth of a worker's capacity shared by eight dispatchers: too little for this request yet.
+    # Eight dispatchers share a fifth of the worker's capacity, so the budget is still too small for this request.
     assert of(given, StartAttempt) == []
     assert of(given, WriteLog) != []
 
@@ -321,7 +321,7 @@
         bench = Bench(entry("a", started_ns=START), dispatchers=dispatchers, own_number=number)
         bench.job(service_hint_ns=100 * MS)
         sends += bool(of(bench.last, StartAttempt)) + len(of(bench.pass_time(2 * SECOND), StartAttempt))
-    # Overload multiple x share of capacity at the window's end x window, for a worker of one slot.
+    # Budget: overload multiple x share of capacity at the window's end x window, for a worker of one slot.
     budget = 3.0 * 0.36 * 2 * SECOND
     assert 0 < sends * 100 * MS <= budget
 
