--- a/tests/dispatch/test_health.py
+++ b/tests/dispatch/test_health.py
@@ -204,19 +204,19 @@
 def test_a_cold_worker_gets_no_more_than_its_share_in_any_window() -> None:
     # Regression: all dispatchers together overloaded a worker that had just started.
     work, dispatchers = 50 * MS, 3
-    hinted = Bench(entry("a", started_ns=START), dispatchers=dispatchers)
+    bench = Bench(entry("a", started_ns=START), dispatchers=dispatchers)
     sent: list[int] = []
     for _ in range(400):
-        given = hinted.job(service_hint_ns=work)
+        given = bench.job(service_hint_ns=work)
         for send in of(given, StartAttempt):
-            sent.append(hinted.now)
-            hinted.started(send.request_id, "a")
-            hinted.ended(send.request_id, "a")
-        hinted.pass_time(20 * MS)
+            sent.append(bench.now)
+            bench.started(send.request_id, "a")
+            bench.ended(send.request_id, "a")
+        bench.pass_time(20 * MS)
     assert sent
-    for begin in sent:
-        window = [moment for moment in sent if begin <= moment < begin + 2 * SECOND]
-        share = 0.2 + 0.8 * (begin + 2 * SECOND - START) / (10 * SECOND)
+    for window_start in sent:
+        window = [sent_at for sent_at in sent if window_start <= sent_at < window_start + 2 * SECOND]
+        share = 0.2 + 0.8 * (window_start + 2 * SECOND - START) / (10 * SECOND)
         assert len(window) * work <= 3.0 * share * 2 * SECOND / dispatchers
 
 
@@ -435,13 +435,13 @@
     yet due.
     """
     bench = Bench(entry("a"))
-    given: list[Action] = []
+    actions: list[Action] = []
     for step in range(40):
         bench.now += 123_457
-        given += bench.job(due=SECOND + step * 7)
-        given += bench.pass_time(3 * MS + 11)
-    given += bench.pass_time(2 * SECOND)
-    asked = [action.when_ns for action in of(given, SetTimer)]
-    assert len(asked) > 40
-    assert all(when % 1000 == 0 for when in asked)
-    assert len(of(given, (RejectRequest, FailRequest))) == 40
+        actions += bench.job(due=SECOND + step * 7)
+        actions += bench.pass_time(3 * MS + 11)
+    actions += bench.pass_time(2 * SECOND)
+    sweep_times = [action.when_ns for action in of(actions, SetTimer)]
+    assert len(sweep_times) > 40
+    assert all(when % 1000 == 0 for when in sweep_times)
+    assert len(of(actions, (RejectRequest, FailRequest))) == 40
