--- a/tests/dispatch/test_cold_fleet.py
+++ b/tests/dispatch/test_cold_fleet.py
@@ -97,7 +97,7 @@
         return tuple(warm_entries + (cold_entries if with_cold else []))
 
     def allowed_requests(self, started_at: int, now: int) -> float:
-        """Return N for a worker that started at `began` and the overload window that ends at `now`."""
+        """Return N, the requests allowed in the window that ends at `now` for a worker started at `started_at`."""
         rules = self.rules
         share = min(1.0, rules.initial_share + (1 - rules.initial_share) * (now - started_at) / rules.warm_up_ns)
         return rules.overload_multiple * share * self.slots * rules.overload_window_ns / self.work
--- a/tests/dispatch/test_crowd.py
+++ b/tests/dispatch/test_crowd.py
@@ -152,7 +152,7 @@
 
 
 def test_error_ejects_a_worker_of_a_large_fleet_which_first_gets_a_safe_request_on_return() -> None:
-    """Guards against a worker that fails fast and therefore looks idle.
+    """Guards against a worker that fails every request fast and therefore looks idle.
 
     Every list shows this worker as the idlest, so forty dispatchers sent 50 requests a second to it.
     """
@@ -230,7 +230,7 @@
 
 
 def test_dispatchers_without_messages_load_workers_by_their_capacity() -> None:
-    """Guards against equal turns for unequal workers.
+    """Guards against equal turns for workers of unequal speed.
 
     Twenty dispatchers of one zone send to six workers, two of which are three times as fast as the others. The
     dispatchers exchange no messages.
@@ -285,14 +285,14 @@
 
 
 def test_long_request_is_not_taken_for_a_queue_where_starts_are_not_reported() -> None:
-    """Guards platforms that report no starts.
+    """Guards against skipped workers on platforms that report no starts.
 
     Each request in flight for longer than the connect timeout counted as queued, and its worker was skipped in the
     next rounds.
     """
     bench = Bench(entry("here0"), entry("here1"), **{**LIVE_WEIGHTS, "weights": Weights.NONE, "tells_start": False})
     first = only(bench.job(), StartAttempt).worker
-    bench.pass_time(150 * MS)  # 1.5 connect timeouts, but no longer than the request may run
+    bench.pass_time(150 * MS)  # the request runs for 1.5 connect timeouts, which is still allowed
     bench.ended("j0", first)
     assert {only(bench.job(), StartAttempt).worker for _ in range(2)} == {"here0", "here1"}
 
@@ -315,7 +315,7 @@
 
 
 def test_queued_request_is_cancelled_once_its_answer_has_no_value() -> None:
-    """Guards against worthless requests in a worker's queue.
+    """Guards against queued requests whose answers no longer have any value.
 
     Each such request stayed for as long as its client waited, and made the requests behind it late.
     """
--- a/tests/dispatch/test_health.py
+++ b/tests/dispatch/test_health.py
@@ -97,7 +97,7 @@
 
 
 def test_returned_worker_is_ejected_again_at_its_next_error() -> None:
-    # Regression: after each short ejection the worker was ejected again only after three more errors.
+    # Regression: after each short ejection a worker was ejected again only after three more errors.
     bench = Bench(entry("a"), entry("b"))
     assert sum(run_safe_request(bench) for _ in range(20)) == 3
     for _ in range(2):
@@ -392,7 +392,7 @@
     sent = [action.worker for action in of(bench.job(due=60 * SECOND), StartAttempt)]
     again = of(bench.ended("j0", "a", outcome), StartAttempt)
     assert [repeat.worker for repeat in again] == sent == ["a"]
-    bench.give(AttemptStarted("j0", 1, "a"))  # activity of the worker between two broken connections
+    bench.give(AttemptStarted("j0", 1, "a"))  # a start shows activity of the worker between two broken connections
     assert of(bench.ended("j0", "a", outcome, attempt=1), StartAttempt) != []
     assert of(bench.ended("j0", "a", outcome, attempt=2), StartAttempt) == []
     assert of(bench.last, WriteLog) != []
