--- a/canvasbeam/leases/__init__.py
+++ b/canvasbeam/leases/__init__.py
@@ -1,9 +1,10 @@
-"""Decide which node may speak for the control plane: contact leases that a majority of the control nodes grants.
+"""Contact leases, granted by a majority of the control nodes: only a node with a lease may act for the control plane.
 
-The package is pure: requests, grants and the time go in, messages come out. It lies below `distribution`, which carries
-its messages and which it does not know. It must never let a node answer for the control plane without a lease that a
-majority has granted, nor count a lease from when a grant was received.
+The package does no I/O: requests, grants and the current time are its input, messages are its output. The package
+`distribution` sends these messages and depends on this package, not the reverse. A node must never act for the control
+plane without a lease that a majority has granted, and the duration of a lease must never count from the receipt of a
+grant: a grant can arrive arbitrarily late.
 
-Start reading at `contact.py` (what a lease is worth, and when it lapses); `lease_renewal.py` asks for it again and
-again, `messages.py` has what is sent for that, and `peer_clock.py` dates messages of a process with another clock.
+`contact.py` defines the lease and its expiry, `lease_renewal.py` renews the lease, `messages.py` defines the messages,
+and `peer_clock.py` converts the send times of other processes to the local clock.
 """
--- a/canvasbeam/leases/contact.py
+++ b/canvasbeam/leases/contact.py
@@ -1,23 +1,24 @@
-"""The contact lease: the right to speak for the control plane, granted by a majority of the control nodes for a time.
+"""The contact lease: the right to act for the control plane for a limited time, granted by a majority of control nodes.
 
-A control node sends numbered requests to the others, who grant each at once. The contact instant is the time, by this
-node's own monotonic clock, at which the newest request was *sent* that a majority has granted. What is merely received
-shows nothing: the link in the other direction may be cut, or the message may have waited in a buffer. A process that
-stood still finds its lease expired when it goes on, because nothing that arrives late is counted from its arrival.
-(Leases: Gray, Cheriton, "Leases: an efficient fault-tolerant mechanism", 1989.)
+A control node sends numbered requests to the other control nodes, which grant each request on receipt. The contact
+instant is the time, on this node's monotonic clock, at which this node *sent* the newest request that a majority has
+granted. Receiving a message proves nothing: the link in the other direction may be cut, or the message may have waited
+in a buffer. A process that was suspended finds its lease expired when it resumes, because a lease never counts from the
+arrival of a late message. (Gray, Cheriton, "Leases: an efficient fault-tolerant mechanism", 1989.)
 
-A grant names the configuration and the evacuations that the granter holds. The contact instant moves only when this
-node holds them too, so that a node in contact holds whatever the majority held when it was asked.
+A grant contains the versions of the configuration and of the evacuations that the granter stores. The contact instant
+advances only when this node stores these versions too, so a node in contact stores everything that the majority stored
+at the time of the request.
 
 | state | from | to |
 | --- | --- | --- |
-| unconfirmed | the start | confirmed: a majority granted a request, and what it holds is held here |
-| confirmed | | confirmed: the same for a later request; lapsed: the contact instant is too long ago |
+| unconfirmed | process start | confirmed: a majority granted a request, and this node stores the granters' versions |
+| confirmed | | confirmed: the same for a later request; lapsed: the contact instant is older than the lease duration |
 | lapsed | | confirmed |
 
-The state follows from the contact instant and the clock alone: no event is needed to leave `confirmed`, and none can
-be missed. A data-plane node has its lease from its parent (`RelayedLease`), with the same instant and rule.
-Pure: times are whole nanoseconds of a monotonic clock.
+The state is computed from the contact instant and the clock alone, so leaving `confirmed` needs no event that could be
+missed. A data-plane node gets its lease through its parent (`RelayedLease`), with the same contact instant and rules.
+The module does no I/O; all times are integer nanoseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -30,12 +31,13 @@
 from canvasbeam.item_table.items import CURRENT, Item, ItemKind, ItemTable
 from canvasbeam.runtime.settings import Address
 
-REQUEST_NUMBER_BITS = 48  # the first is drawn: a grant to an earlier incarnation of the process matches nothing
+# Size of the random first request number: a grant to an earlier incarnation of the process then matches no request.
+REQUEST_NUMBER_BITS = 48
 MAX_PENDING_REQUESTS = 64
 
 
 class ContactState(IntEnum):
-    """Whether this node has a contact lease."""
+    """The state of a contact lease; the module docstring has the transitions."""
 
     UNCONFIRMED = 0
     CONFIRMED = 1
@@ -44,22 +46,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlVersions:
-    """The versions of configuration and evacuations that a node holds: indexes of the control state that set them."""
+    """The versions of the configuration and the evacuations on a node: indexes of the control state, 0 where absent."""
 
     configuration: int = 0
     evacuations: int = 0
 
     @classmethod
     def of(cls, table: ItemTable) -> ControlVersions:
-        """Return those that this table holds."""
+        """Return the versions of the configuration and the evacuations in `table`."""
         return cls(_version_index(table, ItemKind.CONFIGURATION), _version_index(table, ItemKind.EVACUATIONS))
 
     def covers(self, other: ControlVersions) -> bool:
-        """Return whether a node with these lacks nothing of the other."""
+        """Return True if both versions are at least as new as those of `other`."""
         return self.configuration >= other.configuration and self.evacuations >= other.evacuations
 
     def joined(self, other: ControlVersions) -> ControlVersions:
-        """Return the newer of each."""
+        """Return the newer configuration version and the newer evacuations version of the two."""
         return ControlVersions(
             max(self.configuration, other.configuration),
             max(self.evacuations, other.evacuations),
@@ -72,7 +74,7 @@
 
 
 def contact_state(instant: int | None, now: int, lease: int) -> ContactState:
-    """Return the state of a lease of `lease` nanoseconds; every change of state follows from this function."""
+    """Return the state of a lease of `lease` nanoseconds from `instant`, which is None for a lease never confirmed."""
     if instant is None:
         return ContactState.UNCONFIRMED
     return ContactState.CONFIRMED if now - instant <= lease else ContactState.LAPSED
@@ -80,20 +82,20 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that was sent to the other control nodes, and who has granted it."""
+    """A request sent to the other control nodes, and the nodes that have granted the request."""
 
     sent_at: int
-    items: tuple[Item, ...] = ()  # which a granter holds before it grants
+    items: tuple[Item, ...] = ()  # items that a granter must store before it grants the request
     granters: set[Address] = field(default_factory=set)
-    versions: ControlVersions = field(default_factory=ControlVersions)  # the newest that a granter reported
+    versions: ControlVersions = field(default_factory=ControlVersions)  # the newest versions in the grants
 
 
 class ContactLease:
-    """The contact lease of one control node: its open requests, and the instant from which it counts."""
+    """The contact lease of one control node: the pending requests and the contact instant."""
 
     def __init__(self, me: Address, seed: int) -> None:
-        self.instant: int | None = None  # the contact instant
-        self.exchanged_at: int | None = None  # when the newest message was sent that any other node answered
+        self.instant: int | None = None  # the contact instant; None before the first majority
+        self.exchanged_at: int | None = None  # send time of the newest message that any other node has answered
         self._me = me
         self._electorates: tuple[frozenset[Address], ...] = (frozenset({me}),)
         self._number = random.Random(seed).getrandbits(REQUEST_NUMBER_BITS)
@@ -101,16 +103,16 @@
         self._writes: dict[int, PendingRequest] = {}
 
     def set_electorates(self, electorates: Iterable[Iterable[Address]]) -> None:
-        """Require a majority of each of these from now on; there are two while a change of the view is not in force.
+        """Require a majority of each electorate from now on; there are two while a view change is not yet in force.
 
-        What earlier ones have granted stands, and expires.
+        A lease that earlier electorates have granted stays valid until it expires.
         """
         self._electorates = tuple(frozenset(electorate) for electorate in electorates)
 
     # --- requests and writes ----------------------------------------------------------------------
 
     def begin_request(self, now: int, own_versions: ControlVersions) -> int:
-        """Note a request that is sent now, and return its number. `own_versions` is what this node holds."""
+        """Record a request sent at `now`; return its number. `own_versions` are the versions stored on this node."""
         number = self._next_number()
         self._requests[number] = PendingRequest(now)
         while len(self._requests) > MAX_PENDING_REQUESTS:
@@ -119,30 +121,30 @@
         return number
 
     def begin_write(self, now: int, items: Iterable[Item]) -> int:
-        """Note a request with items for a majority to hold, sent now; return its number, valid until `end_write`."""
+        """Record a write of `items` to a majority, sent at `now`; return its number, valid until `end_write`."""
         number = self._next_number()
         self._writes[number] = PendingRequest(now, tuple(items))
         return number
 
     def end_write(self, number: int) -> None:
-        """Forget a write that nobody waits for any more."""
+        """Remove a write for which no caller waits any longer."""
         self._writes.pop(number, None)
 
     def is_written(self, number: int) -> bool:
-        """Return whether a majority has granted this write, and so holds its items."""
+        """Return True if a majority has granted the write, and therefore stores its items."""
         write = self._writes.get(number)
         return write is not None and self._has_majority(write)
 
     def items_of_write(self, number: int) -> tuple[Item, ...]:
-        """Return the items that a granter of this write holds."""
+        """Return the items that a node must store before it grants this write."""
         return self._writes[number].items
 
     def missing_writes(self, peer: Address) -> list[int]:
-        """Return the numbers of the writes that this peer has not granted yet."""
+        """Return the numbers of the pending writes that `peer` has not granted."""
         return [number for number, write in self._writes.items() if peer not in write.granters]
 
     def on_grant(self, granter: Address, number: int, versions: ControlVersions, own_versions: ControlVersions) -> bool:
-        """Count a grant of a control node; return whether the contact instant moved."""
+        """Record a grant by a control node; return True if the contact instant advanced."""
         granted = self._requests.get(number) or self._writes.get(number)
         if granted is None:
             return False
@@ -152,19 +154,19 @@
         return self.advance(own_versions)
 
     def note_exchange(self, sent_at: int) -> None:
-        """Note that another node answered what was sent then: a control node's grant, a child's sign of a keepalive."""
+        """Record that another node acknowledged a message sent at `sent_at`: a lease request or a keepalive."""
         self.exchanged_at = sent_at if self.exchanged_at is None else max(self.exchanged_at, sent_at)
 
     def exchange_age(self, now: int) -> int | None:
-        """Return how long ago the newest message was sent that any other node has answered; none before the first.
+        """Return the nanoseconds since the newest message answered by any other node was sent, or None if none was.
 
-        A control node that needs no other for its lease counts from its lease.
+        The contact instant counts as such a message, so a control node that is its own majority has an age too.
         """
         known = [instant for instant in (self.instant, self.exchanged_at) if instant is not None]
         return now - max(known) if known else None
 
     def advance(self, own_versions: ControlVersions) -> bool:
-        """Move the contact instant as far as the grants and what is held here allow; return whether it moved."""
+        """Advance the contact instant as far as the grants and `own_versions` allow; return True if it advanced."""
         complete = [
             request.sent_at
             for request in (*self._requests.values(), *self._writes.values())
@@ -179,7 +181,7 @@
     # --- helpers ----------------------------------------------------------------------------------
 
     def _move(self, instant: int) -> None:
-        """Set the contact instant, which only grows; the one place that does."""
+        """Set the contact instant, which never decreases; no other method changes the contact instant."""
         self.instant = instant
         self._requests = {number: request for number, request in self._requests.items() if request.sent_at > instant}
 
@@ -194,26 +196,26 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedGrant:
-    """What a parent in contact says: at this instant a majority held nothing newer than these."""
+    """A parent's statement that a majority stored nothing newer than `versions` at `instant`."""
 
-    instant: int  # by the clock of the child
+    instant: int  # the parent's contact instant, converted to the child's clock
     versions: ControlVersions
 
 
 class RelayedLease:
-    """The contact lease of a data-plane node, by way of its parents."""
+    """The contact lease of a data-plane node, relayed by its parents."""
 
     def __init__(self) -> None:
-        self.instant: int | None = None  # the contact instant
-        self._pending: RelayedGrant | None = None  # the newest, while something that it names is not held here
+        self.instant: int | None = None  # the contact instant; None before the first grant
+        self._pending: RelayedGrant | None = None  # the newest grant, until this node stores its versions
 
     def on_grant(self, grant: RelayedGrant, own_versions: ControlVersions) -> bool:
-        """Take a parent's grant; return whether the contact instant moved."""
+        """Record a parent's grant; return True if the contact instant advanced."""
         self._pending = grant
         return self.advance(own_versions)
 
     def advance(self, own_versions: ControlVersions) -> bool:
-        """Take the pending grant if what it names is held by now; return whether the contact instant moved."""
+        """Apply the pending grant if `own_versions` cover its versions; return True if the contact instant advanced."""
         pending = self._pending
         if pending is None or not own_versions.covers(pending.versions):
             return False
--- a/canvasbeam/leases/messages.py
+++ b/canvasbeam/leases/messages.py
@@ -1,6 +1,6 @@
-"""The messages by which control nodes ask each other for contact leases and grant them, and the action that sends one.
+"""The messages by which control nodes request and grant contact leases, and the action that sends such a message.
 
-Pure data. The module knows nothing of how messages travel: `distribution` carries them beside its own.
+Data types only. The module does not depend on the transport: `distribution` sends these messages along with its own.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """A control node asks another for a grant."""
+    """A control node requests a grant from another control node."""
 
     number: int
-    items: tuple[Item, ...] = ()  # to be held by the receiver before it grants
+    items: tuple[Item, ...] = ()  # items that the receiver must store before it grants the request
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """The receiver of a `LeaseRequest` has it, and holds its items."""
+    """The sender grants the `LeaseRequest` with this number, and has stored its items."""
 
     number: int
-    versions: ControlVersions  # which the granter holds
+    versions: ControlVersions  # the granter's own versions
 
 
 LeaseMessage = LeaseRequest | LeaseGrant
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendLeaseMessage:
-    """Send one message to these control nodes."""
+    """The action of sending one message to several control nodes."""
 
     addresses: tuple[Address, ...]
     message: LeaseMessage
--- a/canvasbeam/leases/peer_clock.py
+++ b/canvasbeam/leases/peer_clock.py
@@ -1,9 +1,9 @@
-"""The clocks of other processes, as far as one round trip shows them.
+"""Estimates of the clock offsets of other processes, each measured by one round trip.
 
-A process cannot compare its monotonic clock with another's, but it knows that an answer was sent after the question.
-With the times of one question (by the own clock) and its answer (by the other's), every later message of that process
-can be given a time, by the own clock, before which it was not sent. Ages that are counted from there are never too
-short; they are too long by the time that the question took, at most.
+A process cannot read the monotonic clock of another process, but it knows that an answer was sent after its request.
+The request's send time (local clock) and the answer's send time (peer's clock) bound the offset between the clocks.
+With this offset, each later message of the peer gets an earliest possible send time on the local clock. An age computed
+from the earliest send time is never too short, and it is too long by at most the round-trip time.
 """
 
 from __future__ import annotations
@@ -13,36 +13,37 @@
 from canvasbeam.runtime.settings import Address
 from canvasbeam.units import MILLISECOND, SECOND
 
-RELEARN_AFTER_NS = 10 * SECOND  # clocks drift apart
-LARGE_ERROR_NS = 300 * MILLISECOND
+RELEARN_AFTER_NS = 10 * SECOND  # an offset is measured again after this time, because clocks drift apart
+LARGE_ERROR_NS = 300 * MILLISECOND  # an offset with a larger maximum error is measured again at once
 
 
 @dataclass(frozen=True, slots=True)
 class SendTime:
-    """When a message was sent, by the clock of its sender."""
+    """The send time of a message on the sender's clock, in nanoseconds."""
 
-    incarnation: int = 0  # of the sender's process: another incarnation may have another clock
+    incarnation: int = 0  # incarnation of the sender's process; each incarnation may have a different clock
     sent_at: int = 0
-    requested_at: int | None = None  # when the question was sent that this answers, by the clock of who asked
+    # Send time of the request that the message answers, on the requester's clock; None for other messages.
+    requested_at: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class _PeerClock:
     incarnation: int
-    offset: int  # added to a time of sending by the other's clock, a time of ours that is not later
+    offset: int  # peer's send time + offset = earliest possible send time on the local clock
     learned_at: int
-    error: int  # by how much the offset is too low, at most
+    error: int  # nanoseconds by which the offset is too low at most
 
 
 class PeerClocks:
-    """What this process knows of the clocks of others: one offset each, with the bound of its error."""
+    """The clock offset of each peer, with the maximum error of the offset."""
 
     def __init__(self, now: int) -> None:
         self._begun_at = now
         self._clocks: dict[Address, _PeerClock] = {}
 
     def learn(self, now: int, address: Address, time: SendTime) -> None:
-        """Take the times of an answer to a question of ours; others are ignored."""
+        """Update the offset of a peer from an answer to a request of this process; ignore other messages."""
         if time.requested_at is None or not self._begun_at <= time.requested_at <= now:
             return
         learned = _PeerClock(time.incarnation, time.requested_at - time.sent_at, now, now - time.requested_at)
@@ -51,19 +52,19 @@
             self._clocks[address] = learned
 
     def sent_at(self, now: int, address: Address, time: SendTime) -> int | None:
-        """Return a time by our own clock before which the message was not sent; none where its clock is not known."""
+        """Return the earliest possible send time of a message on the local clock, or None if the offset is unknown."""
         known = self._clocks.get(address)
         if known is None or known.incarnation != time.incarnation:
             return None
         return min(time.sent_at + known.offset, now)
 
     def should_request(self, now: int, address: Address) -> bool:
-        """Return whether another question would make the estimate better."""
+        """Return True if the offset of a peer is unknown, too inaccurate or too old, so that it should be measured."""
         known = self._clocks.get(address)
         return known is None or known.error > LARGE_ERROR_NS or now - known.learned_at >= RELEARN_AFTER_NS
 
     def forget_all_but(self, address: Address) -> None:
-        """Forget the clocks of all processes but one."""
+        """Remove the offsets of all peers except `address`."""
         known = self._clocks.get(address)
         self._clocks = {} if known is None else {address: known}
 
