--- a/canvasbeam/storage/__init__.py
+++ b/canvasbeam/storage/__init__.py
@@ -1,9 +1,9 @@
-"""Durable storage of named values: two slots written in turn, and a short log between.
+"""Durable storage of named values: two slot files with alternating checkpoints, and a short log of later updates.
 
-Owns the files of one folder and their format. It must never know what the values mean, nor acknowledge an update before
-it is synced. All calls block. Start reading at:
+Owns the files of one directory and their format. The package must never interpret the values, nor acknowledge an update
+before the update is synced. All calls block. Modules:
 
-- `store`: the table, its update and its recovery, with the rules on the order of writes.
-- `frames`: the checksummed frames in the files.
-- `disk`: the few file operations, for which tests put a model in place.
+- `store`: the table, its updates and its recovery, with the rules on the order of writes.
+- `frames`: the format of the checksummed frames in the files.
+- `disk`: the file operations, which tests replace by a model disk.
 """
--- a/canvasbeam/storage/disk.py
+++ b/canvasbeam/storage/disk.py
@@ -1,4 +1,4 @@
-"""Name the few file operations that the store needs, so that tests can put a model disk in their place."""
+"""The file operations that the store needs, behind an interface that tests implement by a model disk."""
 
 from __future__ import annotations
 
@@ -10,60 +10,60 @@
 
 
 class Disk(Protocol):
-    """Named files in one folder. Every operation may raise `OSError`."""
+    """Named files in one directory. Every operation may raise `OSError`."""
 
     def read(self, name: str) -> bytes | None:
-        """Return the complete content of a file, or None where there is none."""
+        """Return the complete content of a file, or None if the file does not exist."""
         ...
 
     def create(self, name: str) -> None:
-        """Make an empty file where there is none."""
+        """Create an empty file if the file does not exist."""
         ...
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Overwrite or extend an existing file; nothing is durable before `sync`."""
+        """Write `data` at `offset` of an existing file, extending the file if needed; durable only after `sync`."""
         ...
 
     def sync(self, name: str) -> None:
-        """Make all earlier writes to a file durable."""
+        """Make all earlier writes to the file durable."""
         ...
 
     def sync_folder(self) -> None:
-        """Make the names of all files durable."""
+        """Make the directory entries of all files durable."""
         ...
 
 
 class FolderDisk:
-    """The files of a real folder."""
+    """The files of a directory in the file system."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
 
     def read(self, name: str) -> bytes | None:
-        """Return the complete content of a file, or None where there is none."""
+        """Return the complete content of a file, or None if the file does not exist."""
         try:
             return (self._folder / name).read_bytes()
         except FileNotFoundError:
             return None
 
     def create(self, name: str) -> None:
-        """Make an empty file where there is none, and the folder with it."""
+        """Create an empty file, and its directory, if they do not exist."""
         self._folder.mkdir(parents=True, exist_ok=True)
         os.close(os.open(self._folder / name, os.O_RDWR | os.O_CREAT, 0o600))
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Overwrite or extend an existing file; nothing is durable before `sync`."""
+        """Write `data` at `offset` of an existing file, extending the file if needed; durable only after `sync`."""
         with _opened(self._folder / name, os.O_RDWR) as descriptor:
             os.lseek(descriptor, offset, os.SEEK_SET)
             _write_all(descriptor, data)
 
     def sync(self, name: str) -> None:
-        """Make all earlier writes to a file durable."""
+        """Make all earlier writes to the file durable."""
         with _opened(self._folder / name, os.O_RDWR) as descriptor:
             os.fsync(descriptor)
 
     def sync_folder(self) -> None:
-        """Make the names of all files durable."""
+        """Make the directory entries of all files durable."""
         with _opened(self._folder, os.O_RDONLY) as descriptor:
             os.fsync(descriptor)
 
--- a/canvasbeam/storage/frames.py
+++ b/canvasbeam/storage/frames.py
@@ -1,7 +1,7 @@
-"""Encode the checksummed frames of which slots and log consist, and the named values inside them.
+"""Encoding of the checksummed frames in the slot files and the log, and of the named values in the frames.
 
-A frame is a fixed header, a digest over header and body (BLAKE2b, RFC 7693), and the body. A frame decodes completely
-or not at all. The bytes are those of stored data: they stay.
+A frame consists of a fixed-size header, a digest of header and body (BLAKE2b, RFC 7693), and the body. A frame decodes
+completely or not at all. The format must not change, because existing files on disk use it.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 FORMAT_VERSION = 1
 SLOT_MAGIC = b"CBSL"
 LOG_MAGIC = b"CBLG"
-_HEADER = struct.Struct(">4sB3xQQQ")  # magic, format version, generation, sequence, length of the body
+_HEADER = struct.Struct(">4sB3xQQQ")  # magic, format version, generation, sequence, body length in bytes
 _DIGEST_BYTES = 16
 _OVERHEAD_BYTES = _HEADER.size + _DIGEST_BYTES
-_ENTRY = struct.Struct(">Iq")  # length of the name, length of the value or _REMOVED
+_ENTRY = struct.Struct(">Iq")  # length of the name, length of the value (bytes) or _REMOVED
 _REMOVED = -1
 
 Updates = Mapping[str, bytes | None]
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One decoded frame. `generation` counts slots; `sequence` counts the log's records since that slot."""
+    """One decoded frame. `generation` counts slots written; `sequence` counts log records since the newest slot."""
 
     generation: int
     sequence: int
@@ -33,23 +33,23 @@
 
     @property
     def size(self) -> int:
-        """How many bytes the frame takes in its file."""
+        """Return the size in bytes of the encoded frame."""
         return _OVERHEAD_BYTES + len(self.body)
 
 
 def frame_size(body_size: int) -> int:
-    """Return how many bytes a frame with a body of this size takes."""
+    """Return the size in bytes of an encoded frame with a body of `body_size` bytes."""
     return _OVERHEAD_BYTES + body_size
 
 
 def encode_frame(magic: bytes, frame: Frame) -> bytes:
-    """Return the bytes of a frame."""
+    """Return the encoded frame."""
     header = _HEADER.pack(magic, FORMAT_VERSION, frame.generation, frame.sequence, len(frame.body))
     return header + _digest(header, frame.body) + frame.body
 
 
 def decode_frame(magic: bytes, data: bytes, offset: int = 0) -> Frame | None:
-    """Return the frame that begins at an offset, or None where there is no complete and intact one."""
+    """Return the frame that begins at `offset`, or None if the frame there is incomplete or damaged."""
     if len(data) < offset + _OVERHEAD_BYTES:
         return None
     header = data[offset : offset + _HEADER.size]
@@ -70,7 +70,7 @@
 
 
 def encode_updates(updates: Updates) -> bytes:
-    """Return the body of an update: named values, each given, or None where it is removed."""
+    """Return the encoding of an update, which maps each name to its new value, or to None to remove the name."""
     parts = []
     for name, value in updates.items():
         encoded_name = name.encode()
@@ -81,7 +81,7 @@
 
 
 def decode_updates(data: bytes) -> dict[str, bytes | None]:
-    """Return the update of a body whose digest was right."""
+    """Decode an update; `data` must be a frame body whose digest was verified."""
     updates: dict[str, bytes | None] = {}
     offset = 0
     while offset < len(data):
--- a/canvasbeam/storage/store.py
+++ b/canvasbeam/storage/store.py
@@ -1,23 +1,23 @@
-"""Keep a durable table of named values, in two slots written in turn and a short log between them.
+"""A durable table of named values, stored in two slot files written alternately and a short log of later updates.
 
 | file | content |
 | --- | --- |
 | `slot-0`, `slot-1` | the complete table, at alternating generations |
-| `log` | the updates since the newest slot, each a frame; the first frame is empty, the log's header |
+| `log` | the updates since the newest slot, one frame each; the first frame is empty and serves as the log's header |
 
-An update is one frame appended to the log and synced. When the log is full, or an append failed, the complete table is
-written to the slot that is *not* the newest durable one and synced; then a header of the new generation is written at
-the start of the log and synced. No file is ever renamed, cut or removed, and a frame is written only after everything
-before it was synced. What follows from that when a store is opened:
+An update appends one frame to the log and syncs the log. When the log is full, or an append failed, the complete table
+is written to the slot that is *not* the newest durable one, and the slot is synced; then a header of the new generation
+is written at the start of the log, and the log is synced. No file is ever renamed, truncated or removed, and a frame is
+written only after everything before the frame was synced. When a store is opened, this order of writes implies:
 
 | found | meaning |
 | --- | --- |
-| no intact slot, nothing in the log | an empty disk, or one whose first write never finished |
-| a log of an older generation than the newest intact slot | power was lost before the header |
-| a frame that is not intact at the end of the log | an append that never finished, so nothing relied on it |
-| an intact frame behind one that is not, or a log whose slot is not intact | synced data was damaged: a `Failure` |
+| no intact slot and an empty log | an empty disk, or a disk whose first write never finished |
+| a log of an older generation than the newest intact slot | power was lost before the log header was written |
+| a damaged frame at the end of the log | an append that never finished, so the update was not acknowledged |
+| an intact frame after a damaged one, or a log whose slot is damaged | synced data was damaged: a `Failure` |
 
-All calls block; they belong in a thread of their own. One call runs at a time.
+All calls block, so callers should use a dedicated thread. At most one call may run at a time.
 """
 
 from __future__ import annotations
@@ -50,15 +50,15 @@
 
 @dataclass(frozen=True, slots=True)
 class _LogContent:
-    """The chain of intact frames at the start of the log, and the newest generation found anywhere behind it."""
+    """The chain of intact frames at the start of the log, and the newest generation of later intact frames."""
 
     chain: tuple[Frame, ...]
-    end: int
-    stray_generation: int  # 0 where no intact frame lies behind the chain
+    end: int  # offset in bytes after the last frame of the chain
+    stray_generation: int  # newest generation of intact frames after the chain; 0 = none
 
 
 class Store:
-    """The table, as it is on the disk. Made by `open_store`; owns the position of the next write."""
+    """The durable table, created by `open_store`; owns the file position of the next write."""
 
     def __init__(
         self, disk: Disk, values: dict[str, bytes], newest_slot: int, generation: int, log: _LogContent | None = None
@@ -75,16 +75,16 @@
 
     @property
     def values(self) -> Mapping[str, bytes]:
-        """What was stored: every update that returned None, and perhaps ones that failed."""
+        """Return the stored values: all updates that returned None, and possibly updates that failed."""
         return MappingProxyType(self._values)
 
     @property
     def generation(self) -> int:
-        """How many slots were written since the disk was empty."""
+        """Return the number of slots written since the disk was empty."""
         return self._generation
 
     def update(self, updates: Updates) -> Failure | None:
-        """Set or remove values in one step. After None the step is durable; after a failure it may be or not."""
+        """Set or remove values atomically; None = the update is durable, a failure = the update may or may not be."""
         body = encode_updates(updates)
         _apply_updates(self._values, updates)
         try:
@@ -108,7 +108,7 @@
         self._log_records += 1
 
     def _write_slot(self) -> None:
-        """Write the complete table over the older slot, then begin the log anew."""
+        """Write the complete table over the older slot, then restart the log."""
         self._is_log_usable = False
         target = 1 - self._newest_slot
         self._generation += 1
@@ -137,9 +137,9 @@
 
 
 def open_store(disk: Disk) -> Store | Failure:
-    """Return the store of a disk, making the files on an empty one.
+    """Open the store on a disk, creating the files on an empty disk.
 
-    Damage to synced data is a failure of code `DISK_CORRUPT`; an error of the disk is `DISK_FULL` or `DISK_FAILED`.
+    Damage to synced data returns a failure with code `DISK_CORRUPT`; an I/O error returns `DISK_FULL` or `DISK_FAILED`.
     """
     try:
         return _open(disk)
@@ -148,7 +148,7 @@
 
 
 def disk_failure(error: OSError) -> Failure:
-    """Return the failure that an operating system's error stands for."""
+    """Return the `Failure` for an `OSError`: `DISK_FULL` if no space or quota is left, else `DISK_FAILED`."""
     code = ResultCode.DISK_FULL if error.errno in _FULL_ERRORS else ResultCode.DISK_FAILED
     return Failure(code, str(error))
 
@@ -172,7 +172,7 @@
 
 
 def _make_files(disk: Disk) -> None:
-    """Make what is missing, and sync all: a killed process may have left unsynced writes that are about to be read."""
+    """Create missing files and sync all: a killed process may have left unsynced writes, which recovery would read."""
     for name in (*SLOT_FILES, LOG_FILE):
         disk.create(name)
         disk.sync(name)
@@ -199,7 +199,7 @@
 
 
 def _newest_stray(data: bytes, offset: int, next_sequence: int, chain_generation: int) -> int:
-    """Return the newest generation of an intact frame behind the chain that can only have been written after it."""
+    """Return the newest generation of the intact frames after the chain that were written later than the chain."""
     newest = 0
     position = data.find(LOG_MAGIC, offset)
     while position >= 0:
