--- a/canvasbeam/replication/catch_up.py
+++ b/canvasbeam/replication/catch_up.py
@@ -1,17 +1,18 @@
-"""How members that are no replicas catch up while the primary goes on without them.
+"""Catch-up of members that are not replicas of the view, while the primary continues to serve.
 
-They are those that are to join the view, and standbys, which may have to take a place at any moment.
+The members are those about to join the view, and standbys, which may have to replace a lost replica at any time.
 
-| state | waits for | then |
+| stage | waits for | next stage |
 | --- | --- | --- |
-| ASKED | whether the member is at the state that the view began with, or at a later one of it | FOLLOWING; INSTALLING |
-| INSTALLING | a state, with its chunks where it is large | FOLLOWING |
-| FOLLOWING | nothing: it gets the changes after its index, in order | INSTALLING, where it is behind the log |
+| ASKED | the answer whether the member has the initial state of the view, or a later one | FOLLOWING, INSTALLING |
+| INSTALLING | the confirmation that the member stores a state, which is sent in chunks if large | FOLLOWING |
+| FOLLOWING | nothing: the primary sends the changes in order | INSTALLING if the log lacks the next change |
 
-A member that follows within 0.3 s may join: the view change then brings nothing but what is in flight already. Nothing
-is committed by its confirmations, and it is no source of the view's state before it is a replica (`Candidate`).
+A member may join once it lags the primary by at most 0.3 s: the view change then transfers only changes that are in
+flight already. The confirmations of a member that catches up commit nothing, and a candidate (`Candidate`) never takes
+the view's state from a member that is not yet a replica.
 
-Owns the stage of each such member. The log and the snapshots are the primary's.
+Owns the stage of each member that catches up. The primary owns the log and the snapshots.
 """
 
 from __future__ import annotations
@@ -30,12 +31,13 @@
 from canvasbeam.replication.views import Epoch, MemberId, Position
 from canvasbeam.units import MILLISECOND
 
-MAX_JOIN_LAG_NS = 300 * MILLISECOND  # behind the primary, of a member that may join
-CATCH_UP_RESEND_FACTOR = 4  # times `resend_interval_ns`: a batch may take long on a slow link
+MAX_JOIN_LAG_NS = 300 * MILLISECOND  # largest lag behind the primary at which a member may join
+# Multiple of `resend_interval_ns` after which an unconfirmed batch is resent; a batch may take long on a slow link.
+CATCH_UP_RESEND_FACTOR = 4
 
 
 class CatchUpStage(Enum):
-    """What a joining member does."""
+    """The catch-up stage of one member; the module docstring has the transitions."""
 
     ASKED = auto()
     INSTALLING = auto()
@@ -44,16 +46,16 @@
 
 @dataclass(slots=True)
 class _CatchingUp:
-    """One member: the state that it shall install, or its flow of changes."""
+    """The catch-up of one member: the state to install, or the flow of changes to the member."""
 
     stage: CatchUpStage = CatchUpStage.ASKED
     last_sent: int = 0
     snapshot: ControlState | None = None
-    flow: ChangeFlow | None = None  # while it follows
+    flow: ChangeFlow | None = None  # set in stage FOLLOWING only
 
 
 class CatchUp:
-    """The members that catch up in one view."""
+    """Brings members up to date with the primary of one view."""
 
     def __init__(
         self,
@@ -74,7 +76,7 @@
         self._joining: dict[MemberId, _CatchingUp] = {}
 
     def set_members(self, members: Sequence[MemberId], now: int) -> list[Send]:
-        """Bring these members up to date, and forget the others."""
+        """Start the catch-up of new members, and end the catch-up of members that are no longer listed."""
         for member in [member for member in self._joining if member not in members]:
             del self._joining[member]
         sends: list[Send] = []
@@ -85,7 +87,7 @@
         return sends
 
     def tick(self, now: int) -> list[Send]:
-        """Send again what was not answered, and begin anew with those that are behind the log."""
+        """Resend unanswered messages, and send a new state to members that need changes trimmed from the log."""
         sends: list[Send] = []
         for member, joining in self._joining.items():
             if joining.flow is not None and not joining.flow.can_go_on:
@@ -97,7 +99,7 @@
         return sends
 
     def on_change(self, now: int) -> list[Send]:
-        """Send the change that was added to the log to those that follow."""
+        """Send the change just appended to the log to the members in stage FOLLOWING."""
         sends: list[Send] = []
         for member, joining in self._joining.items():
             if joining.flow is not None:
@@ -105,7 +107,7 @@
         return sends
 
     def take_installed(self, sender: MemberId, message: Installed, now: int) -> list[Send]:
-        """Take a member's word that it has a state of this epoch, or needs one."""
+        """Handle a member's answer that it has stored a state of this epoch, or that it needs one."""
         joining = self._joining.get(sender)
         if joining is None or joining.stage is CatchUpStage.FOLLOWING:
             return []
@@ -119,42 +121,42 @@
         return [self._install(sender, now)]
 
     def take_appended(self, sender: MemberId, index: int, now: int) -> list[Send]:
-        """Take a member's word that it has all changes up to an index."""
+        """Handle a member's confirmation that it has stored all changes up to `index`."""
         joining = self._joining.get(sender)
         if joining is None or joining.flow is None or not joining.flow.confirm(index, now):
             return []
         return self._next_batch(sender, joining.flow, now)
 
     def has(self, member: MemberId) -> bool:
-        """Return whether the member catches up."""
+        """Return True if the member is catching up."""
         return member in self._joining
 
     def is_nearly_caught_up(self, member: MemberId, now: int) -> bool:
-        """Return whether the member may join: it was sent everything, and what it has not confirmed is recent."""
+        """Return True if the member may join: all changes were sent, and the oldest unconfirmed change is recent."""
         joining = self._joining.get(member)
         if joining is None or joining.flow is None or not joining.flow.can_go_on:
             return False
         return joining.flow.sent == self._log.end and self._log.lag_of(joining.flow.index, now) <= MAX_JOIN_LAG_NS
 
     def nearly_caught_up_members(self, now: int) -> frozenset[MemberId]:
-        """Return all that may join now."""
+        """Return all members that may join now."""
         return frozenset(member for member in self._joining if self.is_nearly_caught_up(member, now))
 
     def oldest_needed(self) -> int | None:
-        """Return the index after which all changes are still needed by somebody who joins; None where none are."""
+        """Return the lowest index after which joining members still need all changes, or None if no member joins."""
         followed = [joining.flow.index for joining in self._joining.values() if joining.flow is not None]
         installed = [joining.snapshot.index for joining in self._joining.values() if joining.snapshot is not None]
         asked = [self._began_at.index for joining in self._joining.values() if joining.stage is CatchUpStage.ASKED]
         return min((*followed, *installed, *asked), default=None)
 
     def _enter(self, joining: _CatchingUp, stage: CatchUpStage) -> None:
-        """Change the stage; the only place that does."""
+        """Change the stage of a member; no other method changes a stage."""
         joining.stage = stage
         joining.flow = None
         joining.snapshot = self._snapshot_for_all() if stage is CatchUpStage.INSTALLING else None
 
     def _snapshot_for_all(self) -> ControlState:
-        """Return the state that others install already, where the log still follows on it; else the newest."""
+        """Return a state that other members are installing if the log continues from it, else the newest state."""
         offered = [joining.snapshot for joining in self._joining.values() if joining.snapshot is not None]
         usable = [state for state in offered if self._log.reaches_back_to(state.index)]
         return usable[0] if usable else self._replica.state
--- a/canvasbeam/replication/change_flow.py
+++ b/canvasbeam/replication/change_flow.py
@@ -1,7 +1,7 @@
-"""How changes flow to one member: what it confirmed, what is in flight, and how much may be.
+"""Flow control of the changes sent to one member: confirmed changes, changes in flight, and the window size.
 
-More may be in flight while batches are confirmed quickly, and less where they queue on a slow link: heartbeats pass on
-the same connection, and a member whose heartbeats are late counts as lost. The window doubles and halves within its
+The window grows while batches are confirmed quickly, and shrinks when batches queue on a slow link: heartbeats use the
+same connection, and a member whose heartbeats are late counts as lost. The window doubles and halves within fixed
 limits.
 """
 
@@ -14,13 +14,13 @@
 from canvasbeam.replication.control_state import Change
 from canvasbeam.replication.snapshots import QUICK_ANSWER_NS, SLOW_ANSWER_NS
 
-MIN_WINDOW_BYTES = 128 << 10  # in flight to one member
+MIN_WINDOW_BYTES = 128 << 10  # bytes of changes in flight to one member
 MAX_WINDOW_BYTES = 2 << 20
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Changes to send: the first leads from index `previous` to the next."""
+    """Consecutive changes to send in one message; the first change leads from index `previous` to `previous + 1`."""
 
     previous: int
     changes: tuple[Change, ...]
@@ -28,15 +28,15 @@
 
 @dataclass(frozen=True, slots=True)
 class _BatchInFlight:
-    """A batch that is not confirmed: the index that it leads to, when it was sent, and whether it was large."""
+    """An unconfirmed batch: the index after its last change, and its send time in nanoseconds."""
 
     index: int
     sent_at: int
-    is_large: bool  # with it, at least half of the window was in flight
+    is_large: bool  # at least half of the window was in flight, including this batch
 
 
 class ChangeFlow:
-    """One member's part of the log: the changes up to `index` are confirmed, those up to `sent` are in flight."""
+    """Sends the log to one member: changes up to `index` are confirmed, later changes up to `sent` are in flight."""
 
     def __init__(self, log: ChangeLog, index: int) -> None:
         self._log = log
@@ -48,16 +48,16 @@
 
     @property
     def can_go_on(self) -> bool:
-        """Whether the log still has every change that the member lacks."""
+        """Return True if the log still contains every change that the member lacks."""
         return self._log.reaches_back_to(self.index)
 
     @property
     def unconfirmed_bytes(self) -> int:
-        """The bytes of all changes that the member has not confirmed, sent or not."""
+        """Return the size in bytes of all changes that the member has not confirmed, sent or unsent."""
         return self._log.size_after(self.index)
 
     def next_batch(self, now: int) -> Batch | None:
-        """Return what is to be sent next, and count it as sent; None while enough is in flight."""
+        """Return the next changes to send and count them as sent; None if the window is full or no change is left."""
         if self.sent >= self._log.end or not self._log.reaches_back_to(self.sent):
             return None
         in_flight_bytes = self._log.size_after(self.index) - self._log.size_after(self.sent)
@@ -72,7 +72,7 @@
         return batch
 
     def confirm(self, index: int, now: int) -> bool:
-        """Record that the member has all changes up to an index; return False where that is nothing new."""
+        """Record that the member has stored all changes up to `index`; return False if this was already confirmed."""
         if index <= self.index:
             return False
         self.index = index
@@ -81,13 +81,13 @@
         return True
 
     def restart(self) -> None:
-        """Take what is in flight for lost, so that it is sent again."""
+        """Treat all changes in flight as lost, so that `next_batch` returns them again."""
         self.sent = self.index
         self._window = MIN_WINDOW_BYTES
         self._in_flight.clear()
 
     def _adapt_window(self, now: int) -> None:
-        """Widen or narrow the window by the time of the last confirmed batch; a small one tells nothing of the link."""
+        """Adapt the window to the delay of the last confirmed batch; a quick small batch proves no spare capacity."""
         confirmed: _BatchInFlight | None = None
         while self._in_flight and self._in_flight[0].index <= self.index:
             confirmed = self._in_flight.popleft()
--- a/canvasbeam/replication/change_log.py
+++ b/canvasbeam/replication/change_log.py
@@ -1,6 +1,6 @@
-"""The changes that a primary keeps, because a replica may still need them.
+"""The primary's in-memory log of changes that a replica may still need.
 
-In memory only; what is on disk is the state that they led to. The primary decides when to trim.
+The disk stores the resulting states instead of the changes. The primary decides when to trim the log.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 
 from canvasbeam.replication.control_state import Change
 
-MAX_APPEND_BYTES = 1 << 20  # of the changes in one message; a single larger one still goes
+MAX_APPEND_BYTES = 1 << 20  # limit for the changes in one message; a single larger change is still sent
 
 
 def change_size(change: Change) -> int:
-    """Return the bytes that a change takes in memory and on a link, but for its fixed parts."""
+    """Return the approximate size of a change in bytes, in memory and in a message, without its fixed-size fields."""
     return len(change.body) + len(change.zone)
 
 
 class ChangeLog:
-    """Consecutive changes. The first of them leads from index `start` to the next."""
+    """A sequence of consecutive changes; the first change leads from index `start` to `start + 1`."""
 
     def __init__(self, start: int) -> None:
         self.start = start
@@ -32,21 +32,21 @@
 
     @property
     def end(self) -> int:
-        """The index that the last change led to."""
+        """Return the index to which the last change led."""
         return self.start + len(self._changes)
 
     def append(self, change: Change, now: int) -> None:
-        """Keep the next change."""
+        """Append the next change with the time `now`, in nanoseconds."""
         self._changes.append(change)
         self._added_at.append(now)
         self.size += change_size(change)
 
     def reaches_back_to(self, index: int) -> bool:
-        """Return whether every change after an index is kept."""
+        """Return True if the log still contains every change after `index`."""
         return index >= self.start
 
     def after(self, index: int, max_bytes: int = MAX_APPEND_BYTES) -> tuple[Change, ...]:
-        """Return the changes after an index: at least one, and as many more as one message should carry."""
+        """Return the changes after `index`: the first, of any size, and more up to `max_bytes` in total."""
         taken: list[Change] = []
         size = 0
         for change in islice(self._changes, index - self.start, None):
@@ -57,21 +57,21 @@
         return tuple(taken)
 
     def lag_of(self, index: int, now: int) -> int:
-        """Return for how many nanoseconds there has been a change after an index; 0 where there is none."""
+        """Return the age in nanoseconds of the oldest change after `index`; 0 if there is no such change."""
         position = index - self.start
         return now - self._added_at[position] if 0 <= position < len(self._added_at) else 0
 
     def size_after(self, index: int) -> int:
-        """Return the bytes of the changes after an index."""
+        """Return the total size in bytes of the changes after `index`."""
         return sum(change_size(change) for change in islice(self._changes, max(0, index - self.start), None))
 
     def trim(self, index: int) -> None:
-        """Drop the changes up to an index, which nobody needs any more."""
+        """Remove the changes up to `index`."""
         while self.start < index and self._changes:
             self._drop_first()
 
     def trim_to(self, max_bytes: int, committed: int) -> None:
-        """Keep at most so many bytes of the committed changes, the newest of them."""
+        """Remove the oldest committed changes until the committed ones take at most `max_bytes`."""
         excess = self.size - self.size_after(committed) - max_bytes
         while excess > 0 and self.start < committed:
             excess -= self._drop_first()
--- a/canvasbeam/replication/control_state.py
+++ b/canvasbeam/replication/control_state.py
@@ -1,7 +1,8 @@
-"""The types of the replicated control state: the state, and the changes of an operator that lead from one to the next.
+"""The types of the replicated control state: the state, and the operator's changes to the state.
 
-The state is the operator's configuration and the zones that are evacuated. Every replica applies the same changes in
-the same order, so this module must be deterministic: no clock, no chance, no iteration over sets.
+The state consists of the operator's configuration and the evacuated zones. Every replica applies the same changes in
+the same order and must reach the same state, so this module must be deterministic: no clock, no randomness, no
+iteration over sets.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class ChangeKind(IntEnum):
-    """The kinds of change that the operator orders. The numbers are those of the wire and the disk."""
+    """The kinds of change that an operator can request. The numbers are part of the wire and the storage format."""
 
     PUT_CONFIGURATION = 1
     PATCH_CONFIGURATION = 2
@@ -23,29 +24,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change as it was received: enough to validate and apply it again on any replica."""
+    """One change as received from the operator: enough to validate and apply the change on any replica."""
 
     kind: ChangeKind
-    body: bytes = b""  # of a configuration or a patch
+    body: bytes = b""  # the encoded configuration or patch; empty for an evacuation
     if_match: int = 0
-    zone: str = ""  # of an evacuation
+    zone: str = ""  # the zone of an evacuation; empty for a configuration
 
 
 @dataclass(frozen=True, slots=True)
 class ControlState:
-    """What the replicas agree on. `index` counts the changes applied since the first start of the system."""
+    """The replicated state. `index` counts the changes applied since the first start of the system."""
 
     index: int = 0
     generation: int = 0
     configuration: Mapping[str, Any] | None = None
     configuration_index: int = 0  # the index of the change that last altered the configuration
-    evacuated_zones: tuple[str, ...] = ()  # sorted
+    evacuated_zones: tuple[str, ...] = ()  # zone names, sorted
     evacuation_index: int = 0
-    applied_change_keys: tuple[bytes, ...] = field(default=())  # of changes of the configuration, oldest first
+    applied_change_keys: tuple[bytes, ...] = field(default=())  # keys of applied configuration changes, oldest first
 
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """A change is on the disks of every replica of the view, or was so before."""
+    """The result of a change that is committed: stored on the disks of every replica of the view, now or earlier."""
 
     state: ControlState
--- a/canvasbeam/replication/departure.py
+++ b/canvasbeam/replication/departure.py
@@ -1,13 +1,14 @@
-"""The end of a member that may not come back: it is released once others store what it stores.
+"""The departure of a member that may not return: it may stop once enough other members store the state.
 
-| state | meaning | goes on when |
+| state | meaning | next state |
 | --- | --- | --- |
-| STAYING | it takes part as usual | `begin`: LEAVING |
-| LEAVING | it tells the others, votes and stores on, but does not lead | granted: GRANTED; nobody stays: ALONE |
-| GRANTED | a view in force does without it and has enough synced copies | never |
-| ALONE | there is no other member that stays, so that nobody could take over | one stays after all: LEAVING |
+| STAYING | the member takes part as usual | LEAVING on `begin` |
+| LEAVING | the member announces its departure; it votes and stores, but does not lead | GRANTED on a grant; ALONE |
+| GRANTED | a view in force excludes the member and has enough synced copies of the state | none |
+| ALONE | all other members are leaving too, so no member could take over | LEAVING if another member stays |
 
-`_enter` is the only place where the state changes. Owns how far the member is; it neither resigns nor ends the process.
+Only `_enter` changes the state. The module owns the departure state; the resignation of the member and the end of the
+process are up to the caller.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class DepartureState(Enum):
-    """How far a member is with its end."""
+    """The progress of a member's departure; the module docstring has the transitions."""
 
     STAYING = auto()
     LEAVING = auto()
@@ -30,28 +31,28 @@
 
 
 class Departure:
-    """See the table at the top."""
+    """The departure of this member: announcements to the other members, and the grant by the primary."""
 
     def __init__(self, me: MemberId, timing: ReplicationTiming) -> None:
         self.state = DepartureState.STAYING
-        self.copies = 0  # synced copies elsewhere, once granted
+        self.copies = 0  # synced copies of the state on other members, set by the grant
         self._me = me
         self._timing = timing
         self._last_sent = 0
-        self._alone_since: int | None = None  # since when no other member seems to stay
+        self._alone_since: int | None = None  # time since which all other members appear to be leaving
 
     @property
     def has_begun(self) -> bool:
-        """Whether the member is to end."""
+        """Return True if the departure of this member has begun."""
         return self.state is not DepartureState.STAYING
 
     @property
     def may_end(self) -> bool:
-        """Whether there is nothing to wait for any more."""
+        """Return True if the process of this member may end now."""
         return self.state in (DepartureState.GRANTED, DepartureState.ALONE)
 
     def begin(self, view: View | None, liveness: MemberLiveness, now: int) -> list[Send]:
-        """Tell the others that the member is to end."""
+        """Begin the departure, and return the announcements to the other members; empty if already begun."""
         if self.has_begun:
             return []
         self._enter(DepartureState.LEAVING)
@@ -59,7 +60,7 @@
         return self._notify(view, liveness, now)
 
     def tick(self, view: View | None, liveness: MemberLiveness, now: int) -> list[Send]:
-        """Tell the others again for as long as the process runs: the last that they receive counts."""
+        """Repeat the announcements while the process runs: other members judge by the newest message they received."""
         if not self.has_begun:
             return []
         self._decide_whether_alone(view, liveness, now)
@@ -68,7 +69,7 @@
         return self._notify(view, liveness, now)
 
     def take_grant(self, copies: int) -> None:
-        """Take the primary's word that it does without this member, and that so many copies are synced."""
+        """Record the primary's grant: the view excludes this member, and `copies` other members store the state."""
         if self.has_begun:
             self.copies = copies
             self._enter(DepartureState.GRANTED)
@@ -77,7 +78,7 @@
         self.state = state
 
     def _decide_whether_alone(self, view: View | None, liveness: MemberLiveness, now: int) -> None:
-        """Decide whether anybody stays. Those that do answer a `Leave`, so the last word of them is soon recent."""
+        """Enter ALONE if no other member stays, else LEAVING; members that stay answer `Leave`, so they are seen."""
         if self.state is DepartureState.GRANTED:
             return
         others = self._others(view)
--- a/canvasbeam/replication/durability.py
+++ b/canvasbeam/replication/durability.py
@@ -1,7 +1,8 @@
-"""Holds back the messages that vouch for the disk until everything saved before them is durable.
+"""Delays messages that claim data is on disk until everything saved before them is durable.
 
-Pure: the driver hands over what a member decided, takes batches to write, and says when a batch is durable. Nothing
-that vouches for the disk may leave by any other way.
+The module does no I/O: the driver passes in the actions of a member, writes the batches to disk, and reports when a
+batch is durable. A message that claims data is on disk must be sent through this module only; otherwise a power failure
+could lose data that a peer counts on.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class Outbox:
-    """Two queues: what must be written, and the messages that wait for it."""
+    """Two queues: the saves that must be written, and the messages that wait for these saves."""
 
     def __init__(self) -> None:
         self._unwritten: list[Save] = []
@@ -31,7 +32,7 @@
         self._waiting: deque[tuple[int, OutgoingMessage]] = deque()
 
     def take(self, actions: Sequence[Action]) -> list[Action]:
-        """Queue the saves and what waits for them; return what may go at once."""
+        """Queue the saves and the messages that must wait for them; return the actions to carry out immediately."""
         free: list[Action] = []
         for action in actions:
             if isinstance(action, Save):
@@ -44,7 +45,7 @@
         return free
 
     def _delay(self, action: OutgoingMessage) -> None:
-        """Keep a message, unless the same one waits already: while a disk stalls, repeats do not pile up."""
+        """Queue a message unless an equal one is queued, so that repeats do not accumulate while a disk stalls."""
         if all(held != action for _, held in self._waiting):
             self._waiting.append((self._saves_queued, action))
 
@@ -53,18 +54,18 @@
 
     @property
     def has_unwritten(self) -> bool:
-        """Whether there is something for the next batch."""
+        """Return True if `next_batch` would return any saves."""
         return bool(self._unwritten)
 
     def next_batch(self) -> list[Save]:
-        """Return all saves that were not taken yet: the driver writes them in one step, in this order."""
+        """Return all saves not yet in a batch; the driver writes them atomically, in this order."""
         batch = self._unwritten
         self._unwritten = []
         self._saves_taken += len(batch)
         return batch
 
     def batch_durable(self) -> list[OutgoingMessage]:
-        """Record that the batch taken last is synced; return the messages that waited for nothing else."""
+        """Record that the last batch is synced; return the messages whose earlier saves are now all durable."""
         self._saves_durable = self._saves_taken
         released: list[OutgoingMessage] = []
         while self._waiting and self._waiting[0][0] <= self._saves_durable:
--- a/canvasbeam/replication/durable_state.py
+++ b/canvasbeam/replication/durable_state.py
@@ -1,4 +1,4 @@
-"""What a member begins with: its settings, and what it finds on its disk. Values only."""
+"""The initial values of a member: its settings, and the state read from its disk. Data types only."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DurableState:
-    """What a member finds on its disk at a start."""
+    """The state of a member as read from its disk at startup."""
 
     promised: Epoch = NO_EPOCH
     accepted: View | None = None
@@ -23,17 +23,17 @@
 
     @classmethod
     def genesis(cls, view: View) -> DurableState:
-        """Return what a member of the genesis view begins with."""
+        """Return the initial state of a member of the genesis view."""
         return cls(GENESIS_EPOCH, view, True, GENESIS_EPOCH, ControlState())
 
 
 @dataclass(frozen=True, slots=True)
 class MemberSettings:
-    """What the process gives a member at its start."""
+    """The settings that the process passes to its member at startup."""
 
     me: MemberId
     seed_ips: tuple[str, ...]
-    tolerated_machines: int = 1  # that may be lost at once
+    tolerated_machines: int = 1  # number of machines that may be lost at the same time
     timing: ReplicationTiming = field(default_factory=ReplicationTiming)
-    seed: int = 0  # of the chance in election delays
-    chunk_bytes: int = CHUNK_BYTES  # the same at all members
+    seed: int = 0  # random seed of the jitter in election delays
+    chunk_bytes: int = CHUNK_BYTES  # size of snapshot chunks; must be equal on all members
--- a/canvasbeam/replication/election_timer.py
+++ b/canvasbeam/replication/election_timer.py
@@ -1,7 +1,7 @@
-"""When a member stands for primary: the time since the primary's last sign, and its turn in the agreed order.
+"""The election timeout of a member: the time without a message from a primary, plus a delay by the member's rank.
 
-The delays by rank keep candidates from splitting the votes (as the random time-outs of Raft do: Ongaro, Ousterhout, "In
-Search of an Understandable Consensus Algorithm", 2014, section 5.2); a small random part separates equal ranks.
+The delays by rank prevent candidates from splitting the votes, as the random timeouts of Raft do (Ongaro, Ousterhout,
+"In Search of an Understandable Consensus Algorithm", 2014, section 5.2); a small random part separates equal ranks.
 """
 
 from __future__ import annotations
@@ -16,52 +16,52 @@
 
 
 class ElectionTimer:
-    """Times are whole nanoseconds of a monotonic clock; the seed fixes the jitter."""
+    """The election timeout of one member, in nanoseconds of a monotonic clock; the seed determines the jitter."""
 
     def __init__(self, me: MemberId, timing: ReplicationTiming, seed: int, view: View | None, now: int) -> None:
         self._me = me
         self._timing = timing
         self._random = random.Random(f"{me}/{seed}")
-        self._last_sign = now  # of a primary, or of one that is about to lead
+        self._last_sign = now  # last message from a primary or from a member about to become primary
         self._expires_at = now + timing.first_election_timeout_ns + self._rank_delay(view)
 
     def record_sign_of_primary(self, view: View | None, now: int) -> None:
-        """Record a sign of a member that leads, or is about to."""
+        """Record a message from a primary or from a member about to become primary, and restart the timeout."""
         self._last_sign = now
         self.restart(view, now)
 
     def record_resignation(self, view: View | None, now: int) -> None:
-        """Record that the primary has resigned, so that its time-out need not be waited for."""
+        """Record that the primary has resigned, so that only the delay by rank is left before an election."""
         self._last_sign = now - self._timing.election_timeout_ns
         self.expire_after_rank_delay(view, now)
 
     def restart(self, view: View | None, now: int) -> None:
-        """Wait the whole time, and this member's turn, from now on."""
+        """Restart the full election timeout, including the delay by rank, at `now`."""
         self._expires_at = now + self._timing.election_timeout_ns + self._rank_delay(view)
 
     def expire_after_rank_delay(self, view: View | None, now: int) -> None:
-        """Wait for this member's turn alone."""
+        """Let the election timeout expire after only the delay by rank."""
         self._expires_at = now + self._rank_delay(view)
 
     def discount_stall(self, stall: int) -> None:
-        """Do not count the time for which this process stalled."""
+        """Exclude a stall of this process, in nanoseconds, from all timeouts."""
         self._last_sign += stall
         self._expires_at += stall
 
     def has_expired(self, now: int) -> bool:
-        """Return whether it is this member's turn to stand."""
+        """Return True if this member should become a candidate now."""
         return now >= self._expires_at
 
     def is_primary_unresponsive(self, now: int) -> bool:
-        """Return whether the primary has given no sign for too long."""
+        """Return True if the last message of a primary is older than `unresponsive_after_ns`."""
         return now - self._last_sign > self._timing.unresponsive_after_ns
 
     def is_primary_expired(self, now: int) -> bool:
-        """Return whether the primary gave no sign for so long that it is not named to callers any more."""
+        """Return True if the primary was silent for more than twice `unresponsive_after_ns`, so it is forgotten."""
         return now - self._last_sign > 2 * self._timing.unresponsive_after_ns
 
     def _rank_delay(self, view: View | None) -> int:
-        """Return the delay of this member's turn: longest for the last primary, which has just failed."""
+        """Return the delay by rank, in nanoseconds; the last primary has the longest, because it has just failed."""
         if view is None:
             return 0
         order = [member for member in view.members if member != view.primary]
--- a/canvasbeam/replication/invariants.py
+++ b/canvasbeam/replication/invariants.py
@@ -1,4 +1,4 @@
-"""Check what must hold of a member between two events; the simulations of the tests call it after each of them."""
+"""Invariants of a member between two events; the simulations in the tests check the invariants after each event."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 
 
 def broken_invariants(state: SharedState, role: Role, leadership: Primary | None) -> list[str]:
-    """Return what does not hold of a member; empty unless there is a fault in the code.
+    """Return a description of each violated invariant of a member; any violation is a fault in the code.
 
-    `leadership` is that of a member that leads, or none.
+    `leadership` is the state of a member that is the primary, or None for other members.
     """
     promised, accepted, replica = state.witness.promised, state.witness.accepted, state.replica
     broken: list[str] = []
     if accepted is not None and accepted.epoch > promised:
-        broken.append(f"accepted {accepted.epoch} above the promised {promised}")
+        broken.append(f"accepted epoch {accepted.epoch} is above promised epoch {promised}")
     if replica.epoch > promised:
-        broken.append(f"installed {replica.epoch} above the promised {promised}")
+        broken.append(f"installed epoch {replica.epoch} is above promised epoch {promised}")
     if replica.committed.index > replica.state.index:
-        broken.append(f"committed {replica.committed.index} above the stored {replica.state.index}")
+        broken.append(f"committed index {replica.committed.index} is above stored index {replica.state.index}")
     if leadership is not None:
         broken += _broken_by_leader(state, leadership)
     if not state.healthy and role is not Role.FOLLOWER:
-        broken.append(f"acts as {role.name} without its disk")
+        broken.append(f"role is {role.name}, expected FOLLOWER because the disk is unhealthy")
     return broken
 
 
 def _broken_by_leader(state: SharedState, leadership: Primary) -> list[str]:
-    """Return what does not hold of a member that leads."""
+    """Return a description of each violated invariant that applies to primaries only."""
     view, promised, replica_epoch = leadership.view, state.witness.promised, state.replica.epoch
     broken: list[str] = []
     if view.primary != state.me or state.known_view.epoch < view.epoch:
-        broken.append(f"leads in {view}, knows {state.known_view.view}")
+        broken.append(f"leads in view {view}, but the known view is {state.known_view.view}")
     if promised > view.epoch:
-        broken.append(f"leads in {view.epoch} after it promised {promised}")
+        broken.append(f"leads in epoch {view.epoch} after promising epoch {promised}")
     if replica_epoch != view.epoch:
-        broken.append(f"leads in {view.epoch} with a replica of {replica_epoch}")
+        broken.append(f"leads in epoch {view.epoch}, but the replica is installed for epoch {replica_epoch}")
     return broken
--- a/canvasbeam/replication/removal.py
+++ b/canvasbeam/replication/removal.py
@@ -1,6 +1,6 @@
-"""Whether the operator may take a control process out for good, and how far that is.
+"""The permanent removal of a control process by the operator: whether it is allowed, and its progress.
 
-Pure: it decides by the view alone; telling the member to leave is the caller's part.
+The module does no I/O: the decision depends on the view only, and the caller tells the member to leave.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 class Removal(Enum):
-    """How far a removal is."""
+    """The progress of a removal."""
 
-    IN_PROGRESS = "in progress"  # the view still counts on the member
-    DONE = "done"  # a view in force does without it
+    IN_PROGRESS = "in progress"  # the view still includes the member, or the view change is not complete
+    DONE = "done"  # a view in force excludes the member
 
 
 def removal_of(
@@ -27,7 +27,7 @@
     known: Collection[MemberId],
     can_do_without: Callable[[MemberId], bool],
 ) -> Removal | Failure:
-    """Return the removal of whoever is at an address, or why the others cannot do without it."""
+    """Return the progress of removing the members at `ip`, or a `Failure` if the removal is impossible."""
     present = at_address(ip, (*view.replicas, *view.witnesses))
     if not present and not at_address(ip, (*view.previous_witnesses, *known)):
         return Failure(ResultCode.MEMBER_UNKNOWN, f"no control process was ever heard at {ip}")
@@ -39,5 +39,5 @@
 
 
 def at_address(ip: str, members: Collection[MemberId]) -> list[MemberId]:
-    """Return those of the members that are at an address, each once."""
+    """Return the members at IP address `ip`, without duplicates."""
     return [member for member in dict.fromkeys(members) if member_ip(member) == ip]
--- a/canvasbeam/replication/resilience.py
+++ b/canvasbeam/replication/resilience.py
@@ -1,4 +1,4 @@
-"""How many further losses a view bears: figures for the operator, on which nothing in the protocol depends."""
+"""The number of further member losses that a view tolerates: figures for operators, unused by the protocol."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Resilience:
-    """What an operator wants to know before anything else is stopped."""
+    """The fault tolerance of a view, for an operator who wants to stop a further machine."""
 
-    copies: int = 0  # replicas that have every acknowledged change on their disks
-    voters: int = 0
-    has_open_reconfiguration: bool = False  # a change of the electorate is open
-    tolerable_losses: int = 0  # of members at once, after which the rest goes on without them
+    copies: int = 0  # number of replicas with every acknowledged change on disk
+    voters: int = 0  # number of witnesses
+    has_open_reconfiguration: bool = False  # an electorate change is not complete
+    tolerable_losses: int = 0  # number of members that may fail at the same time without an outage
 
 
 def resilience_of(view: View, is_reconfiguration_complete: bool, tolerated_machines: int) -> Resilience:
-    """Return how much a view bears; every usable witness is a replica, so the view alone tells how many are there."""
+    """Return the resilience of a view; the view alone shows it, because every usable witness is a replica."""
     margins = [len(view.replicas) - fewest_replicas(len(view.witnesses), tolerated_machines)]
     margins.append(_majority_margin(view.replicas, view.witnesses))
     if not is_reconfiguration_complete:
@@ -29,6 +29,6 @@
 
 
 def _majority_margin(present: Collection[MemberId], electorate: Collection[MemberId]) -> int:
-    """Return how many voters more than a majority are present; negative where there is none."""
+    """Return the number of present voters beyond a majority of the electorate; negative without a majority."""
     voters = sum(1 for member in electorate if member in present)
     return voters - (len(electorate) // 2 + 1)
--- a/canvasbeam/replication/shared_state.py
+++ b/canvasbeam/replication/shared_state.py
@@ -1,6 +1,6 @@
-"""What a member has in every role, made once at its start and given to each role's machine.
+"""The state that a member has in every role, created once at startup and shared by the state machines of the roles.
 
-The parts are changed through their own calls; only `healthy` and `seed_ips` are plain values, which the member sets.
+Each component changes through its own methods; only `healthy` and `seed_ips` are plain attributes, set by the member.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class SharedState:
-    """Owns the witness, the replica, and what the member knows of the others."""
+    """Owns the witness, the replica, and the knowledge about the other members."""
 
     def __init__(
         self,
@@ -36,9 +36,9 @@
     ) -> None:
         self.me = settings.me
         self.timing = settings.timing
-        self.apply = apply  # validates a change in full; the replica's own trusts what a primary has checked
+        self.apply = apply  # validates a change fully; `apply_checked` relies on an earlier validation
         self.seed_ips = settings.seed_ips
-        self.healthy = True  # whether the disk works
+        self.healthy = True  # False while the disk stalls, fails or is full
         self.witness = Witness(durable.promised, durable.accepted, durable.in_force)
         self.replica = Replica(apply_checked, durable.installed, durable.state, durable.committed)
         self.snapshots = SnapshotSource(codec, settings.chunk_bytes)
@@ -58,11 +58,11 @@
         )
 
     def finds_primary_unresponsive(self, now: int) -> bool:
-        """Return whether no primary is known, or the known one gave no sign for too long."""
+        """Return True if no primary is known, or the known primary has been silent for too long."""
         return self.election.is_primary_unresponsive(now) or not self.known_primary.is_known
 
     def pre_vote(self, number: int, finds_primary_unresponsive: bool) -> PreVote:
-        """Return the answer to a candidate that asks whether this member, too, finds the primary unresponsive."""
+        """Return the answer to the pre-vote request of a candidate with epoch number `number`."""
         return PreVote(
             number,
             finds_primary_unresponsive,
--- a/canvasbeam/replication/snapshots.py
+++ b/canvasbeam/replication/snapshots.py
@@ -1,9 +1,9 @@
-"""States that are too large for one message, sent in chunks that the receiver asks for.
+"""Transfer of states that are too large for one message, in chunks requested by the receiver.
 
-The sender puts the id of the snapshot (digest and length of the encoded state) in the place of the state. The receiver
-asks for the chunks, a few at a time, so that heartbeats pass between them on a slow link, and more at a time while they
-come quickly; a chunk that does not come or is damaged is asked for again. A snapshot is known by its content: chunks
-are kept when another member offers the same one, and dropped when the state has changed.
+The sender replaces the state in a message by the snapshot id (digest and length of the encoded state). The receiver
+requests a few chunks at a time, so that heartbeats can pass between the chunks on a slow link, and more at a time while
+chunks arrive quickly; the receiver requests a missing or damaged chunk again. The id depends on the content only:
+received chunks are kept when another member offers the same snapshot, and dropped when the state has changed.
 """
 
 from __future__ import annotations
@@ -19,30 +19,30 @@
 from canvasbeam.replication.views import MemberId
 from canvasbeam.units import MILLISECOND, SECOND
 
-CHUNK_BYTES = 32 << 10  # of each chunk but the last
+CHUNK_BYTES = 32 << 10  # size of every chunk except the last
 INITIAL_CHUNKS_IN_FLIGHT = 4
 MIN_CHUNKS_IN_FLIGHT = 2
 MAX_CHUNKS_IN_FLIGHT = 32
-QUICK_ANSWER_NS = 200 * MILLISECOND  # from asking to a chunk: the link does not queue yet
-SLOW_ANSWER_NS = 300 * MILLISECOND
+QUICK_ANSWER_NS = 200 * MILLISECOND  # an answer within this time shows that the link is not queueing yet
+SLOW_ANSWER_NS = 300 * MILLISECOND  # an answer after a longer time shrinks the window
 CHUNK_RETRY_NS = 600 * MILLISECOND
-SNAPSHOT_IDLE_NS = 10 * SECOND  # after which an unfinished snapshot is dropped
+SNAPSHOT_IDLE_NS = 10 * SECOND  # time without progress or use after which a snapshot is dropped
 MAX_CACHED_SNAPSHOTS = 2
 MAX_SNAPSHOT_BYTES = 64 << 20
 DIGEST_BYTES = 16
 
-Offer = Install | Fetched  # what carries a state or the id of a snapshot
+Offer = Install | Fetched  # messages that contain a state or the id of a snapshot
 
 
 class StateCodec(Protocol):
-    """A state as bytes."""
+    """Encodes control states as bytes, and decodes them."""
 
     def encode_state(self, state: ControlState) -> bytes:
-        """Return the bytes of a state."""
+        """Return the encoding of a state."""
         ...
 
     def decode_state(self, data: bytes) -> ControlState | Failure:
-        """Return the state of such bytes, or why there is none."""
+        """Return the decoded state, or a `Failure` if `data` is not a valid encoding."""
         ...
 
 
@@ -52,21 +52,22 @@
 
 
 class SnapshotSource:
-    """Offers states and gives their chunks.
+    """Offers states to other members, and serves the chunks of large states.
 
-    The last few snapshots are kept until nobody has asked for them for a while; who needs another is offered it anew.
+    The newest snapshots stay cached until no offer or request has occurred for `SNAPSHOT_IDLE_NS`; a member that needs
+    the chunks of another snapshot gets a new offer.
     """
 
     def __init__(self, codec: StateCodec | None, chunk_bytes: int = CHUNK_BYTES) -> None:
-        self._codec = codec  # none: every state goes whole
+        self._codec = codec  # None: every state is sent in one message
         self._chunk_bytes = chunk_bytes
         self._last_offered: tuple[ControlState, ControlState | SnapshotId] | None = None
         self._cached: dict[SnapshotId, bytes] = {}
-        self._is_used = False  # since the last tick
+        self._is_used = False  # whether an offer or request has occurred since the last tick
         self._used_at = 0
 
     def offer(self, state: ControlState) -> ControlState | SnapshotId:
-        """Return what stands for a state in a message: a small one itself, of a large one the id."""
+        """Return the state to put into a message, or the snapshot id if the state is too large for one message."""
         if self._codec is None:
             return state
         self._is_used = True
@@ -75,7 +76,7 @@
         return self._last_offered[1]
 
     def chunk(self, wanted: FetchChunk) -> Chunk | None:
-        """Return one chunk; None of a snapshot that is not cached."""
+        """Return the requested chunk, or None if the snapshot is not cached or the chunk number is invalid."""
         self._is_used = True
         data = self._cached.get(wanted.snapshot)
         begin = wanted.number * self._chunk_bytes
@@ -85,7 +86,7 @@
         return Chunk(wanted.snapshot, wanted.number, part, zlib.crc32(part))
 
     def tick(self, now: int) -> None:
-        """Drop what nobody has asked for lately."""
+        """Drop the cached snapshots if no offer or request has occurred for `SNAPSHOT_IDLE_NS`."""
         if self._is_used:
             self._is_used = False
             self._used_at = now
@@ -107,7 +108,7 @@
 
 @dataclass(slots=True)
 class _Incoming:
-    """A snapshot of which chunks are missing, and the message that waits for it."""
+    """A partially received snapshot, and the message that waits for the complete state."""
 
     snapshot: SnapshotId
     source: MemberId
@@ -115,11 +116,11 @@
     progress_at: int
     chunks: dict[int, bytes] = field(default_factory=dict)
     requested_at: dict[int, int] = field(default_factory=dict)
-    window: int = INITIAL_CHUNKS_IN_FLIGHT  # how many chunks may be in flight
+    window: int = INITIAL_CHUNKS_IN_FLIGHT  # maximum number of requested chunks in flight
 
 
 class SnapshotReceiver:
-    """Collects one snapshot at a time: the one offered last by the newest epoch."""
+    """Receives one snapshot at a time: the last one offered in the newest epoch."""
 
     def __init__(self, codec: StateCodec | None, chunk_bytes: int = CHUNK_BYTES) -> None:
         self._codec = codec
@@ -128,11 +129,11 @@
 
     @property
     def received_bytes(self) -> int:
-        """The bytes received of an unfinished snapshot."""
+        """Return the number of bytes received of the unfinished snapshot, 0 if there is none."""
         return 0 if self._incoming is None else sum(len(data) for data in self._incoming.chunks.values())
 
     def take_offer(self, source: MemberId, offer: Offer, now: int) -> list[Send]:
-        """Begin to fetch the snapshot that a message names, or go on where some of it is here."""
+        """Start to fetch the snapshot named in an offer, or continue if some of its chunks were already received."""
         snapshot = offer.state
         if not isinstance(snapshot, SnapshotId) or self._is_outdated(offer):
             return []
@@ -148,7 +149,7 @@
         return self._request(incoming, now)
 
     def take_chunk(self, chunk: Chunk, now: int) -> tuple[MemberId, Offer] | None:
-        """Keep a chunk that is intact; after the last one return the message that waited, with the state in it."""
+        """Store an intact chunk; after the last chunk, return the source and the offer with the state filled in."""
         incoming = self._incoming
         if incoming is None or chunk.snapshot != incoming.snapshot or not self._is_intact(chunk):
             return None
@@ -164,7 +165,7 @@
         return None if state is None else (incoming.source, replace(incoming.offer, state=state))
 
     def tick(self, now: int) -> list[Send]:
-        """Ask for what is missing, and again for what did not come; give up what nobody gives any more."""
+        """Request missing and overdue chunks; drop the snapshot after `SNAPSHOT_IDLE_NS` without progress."""
         incoming = self._incoming
         if incoming is None:
             return []
@@ -203,7 +204,7 @@
         return chunk.number >= 0 and len(chunk.data) == expected > 0 and zlib.crc32(chunk.data) == chunk.checksum
 
     def _assembled(self, incoming: _Incoming) -> ControlState | None:
-        """Return the state; None where the chunks do not make the snapshot that was offered."""
+        """Return the decoded state, or None if the chunks do not match the offered snapshot id."""
         data = b"".join(incoming.chunks[number] for number in range(self._count(incoming.snapshot)))
         if self._codec is None or snapshot_id(data) != incoming.snapshot:
             return None
@@ -212,7 +213,7 @@
 
 
 def _adapt_window(incoming: _Incoming, delay: int) -> None:
-    """Widen the window by one for each quick chunk, so that it doubles in a round trip; narrow it for a slow one."""
+    """Grow the window by one for a quick chunk, which doubles it per round trip; shrink it by one for a slow chunk."""
     if delay <= QUICK_ANSWER_NS:
         incoming.window = min(incoming.window + 1, MAX_CHUNKS_IN_FLIGHT)
     elif delay > SLOW_ANSWER_NS:
--- a/canvasbeam/replication/view_planning.py
+++ b/canvasbeam/replication/view_planning.py
@@ -1,7 +1,7 @@
-"""Whom a new view consists of, by the view before it and by who is alive.
+"""Planning of the next view from the previous view and the liveness of the members.
 
-Owns nothing but the time for which a candidacy has waited for members that stay; the rules themselves are in
-`view_rules`. It proposes views, and never puts one in force.
+The module owns only the time for which a candidacy has waited for members that are not leaving; `view_rules` contains
+the membership rules. The planner proposes views, and never puts a view in force.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 
 class ViewPlanner:
-    """Proposes views of one member as the primary.
+    """Proposes views with this member as the primary.
 
-    `is_caught_up` tells of a member that is to join a view whether it has nearly everything.
+    `is_caught_up(member, now)` returns True if a joining member lacks only recent changes.
     """
 
     def __init__(
@@ -32,15 +32,16 @@
         self._tolerated_machines = tolerated_machines
         self._answer_grace_ns = answer_grace_ns
         self._is_caught_up = is_caught_up
-        self._short_epoch = NO_EPOCH  # of the candidacy for which too few members were found that stay, and since when
+        # Epoch of the candidacy that found too few members that are not leaving, and the time since which it waits.
+        self._short_epoch = NO_EPOCH
         self._short_since = 0
 
     def plan(self, base: View, in_force: bool, epoch: Epoch, promised: frozenset[MemberId], now: int) -> View | None:
-        """Return the view that a candidate should propose, or None where it should wait for more promises.
+        """Return the view that a candidate should propose, or None if the candidate should wait for more promises.
 
-        `promised` are the healthy members that answered it. The view does without the members that leave, unless too
-        few others are usable, or answer within `answer_grace_ns`. Members that are to join and have not caught up are
-        used only where they are needed.
+        `promised` are the healthy members that answered the candidate. The view excludes leaving members, unless too
+        few other members are usable or answer within `answer_grace_ns`. The view includes joining members that have
+        not caught up only if too few other members are usable.
         """
         usable = self._usable(base, promised, now)
         ready = self._ready(usable, base, now)
@@ -52,24 +53,24 @@
         return self._propose(ready, base, in_force, epoch, now) or self._propose(usable, base, in_force, epoch, now)
 
     def wants_change(self, view: View, now: int) -> bool:
-        """Return whether a primary should change its view: a member is lost, is back, leaves, or has a successor."""
+        """Return True if a primary should change its view: a member is lost, is back, leaves, or can be replaced."""
         ready = self._ready(self._usable(view, None, now), view, now)
         planned = self._propose(self._staying(ready), view, True, view.epoch, now)
         return _is_change(planned or self._propose(ready, view, True, view.epoch, now), view)
 
     def will_change(self, view: View, now: int) -> bool:
-        """Return whether a primary will want a change at the latest when those that are to join have caught up."""
+        """Return True if a primary should change its view now, or once the joining members have caught up."""
         staying = self._staying(self._usable(view, None, now))
         return _is_change(self._propose(staying, view, True, view.epoch, now), view)
 
     def followers(self, view: View, now: int) -> list[MemberId]:
-        """Return who is alive and no replica: a primary keeps these up to date, so that each may join at any time."""
+        """Return the live non-replicas, which a primary keeps caught up so that each of them may join at any time."""
         staying = self._staying(self._known(view))
         others = [member for member in staying if member not in (self._me, *view.replicas)]
         return [member for member in others if self._liveness.is_alive(member, now)]
 
     def can_do_without(self, member: MemberId, view: View, now: int) -> bool:
-        """Return whether the others could go on without the member and all that leave, with as many voters."""
+        """Return True if the remaining members, without `member` and leaving ones, can keep as many voters."""
         staying = [other for other in self._staying(self._usable(view, None, now)) if other != member]
         planned = plan_witnesses(
             view.witnesses,
@@ -86,11 +87,11 @@
         return list(dict.fromkeys((self._me, *base.members, *sorted(self._liveness.known()))))
 
     def _usable(self, base: View, promised: frozenset[MemberId] | None, now: int) -> list[MemberId]:
-        """Return who may have a part in a view, of a candidate with these promises or of a primary (None)."""
+        """Return the members usable in a view planned by a candidate with these promises, or by a primary (None)."""
         return [member for member in self._known(base) if self._is_usable(member, base, promised, now)]
 
     def _ready(self, usable: Sequence[MemberId], base: View, now: int) -> list[MemberId]:
-        """Return those of the usable that need not catch up before they can be replicas."""
+        """Return the usable members that are this member, replicas of `base`, or caught up."""
         present = (self._me, *base.replicas)
         return [member for member in usable if member in present or self._is_caught_up(member, now)]
 
@@ -124,14 +125,14 @@
             return member in promised and self._liveness.is_alive(member, now)
         if member in base.replicas:
             return self._liveness.is_alive(member, now)
-        # A primary takes in only who answers it: a view with a member that it cannot reach would not last.
+        # A primary adds only members that answer its messages: a view with an unreachable member would not last.
         if promised is None:
             return self._liveness.may_join(member, now)
         return self._liveness.is_steady(member, now)
 
 
 def _is_change(planned: View | None, view: View) -> bool:
-    """Return whether a planned view has other members than the present one."""
+    """Return True if the planned view has other replicas or witnesses than the current view."""
     if planned is None:
         return False
     return set(planned.replicas) != set(view.replicas) or set(planned.witnesses) != set(view.witnesses)
--- a/canvasbeam/replication/view_rules.py
+++ b/canvasbeam/replication/view_rules.py
@@ -1,7 +1,7 @@
-"""Which members a view may consist of: pure functions of the view before it and of who is usable.
+"""The membership rules of views: pure functions of the previous view and the usable members.
 
-They must stay deterministic, and must change at most one step of the electorate at a time: two open changes could be
-decided by majorities that share nobody.
+The functions must be deterministic, and must leave at most one electorate change incomplete at a time: two incomplete
+changes could be decided by majorities without a common member.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
     is_replaceable: Callable[[MemberId], bool],
     tolerated_machines: int,
 ) -> View | None:
-    """Return the view that the primary should propose, or None where too few members are usable.
+    """Return the view that the primary should propose, or None if too few members are usable.
 
-    The witnesses change only on top of a view that is known to be in force: at most one step of the electorate is
-    open at any time. Every usable witness is a replica.
+    The witnesses change only if the base view is known to be in force, so at most one electorate change is incomplete
+    at any time. Every usable witness is a replica.
     """
     witnesses = base.witnesses
     previous = base.previous_witnesses
@@ -38,7 +38,7 @@
 
 
 def fewest_replicas(witnesses: int, tolerated_machines: int) -> int:
-    """Return one more than may be lost; less only while the system is smaller than its final size."""
+    """Return one more than `tolerated_machines`, or a majority of the witnesses while the system is too small."""
     return min(tolerated_machines + 1, witnesses // 2 + 1)
 
 
@@ -50,8 +50,8 @@
 ) -> tuple[MemberId, ...]:
     """Return the witnesses of the next view.
 
-    New members take the places of those that lost their disk or are replaceable; the electorate grows and shrinks by
-    pairs to `wanted`.
+    New members replace witnesses that lost their disk or are replaceable; the electorate grows or shrinks in pairs
+    until its size is `wanted`.
     """
     planned = list(witnesses)
     standbys = [member for member in usable if member not in planned]
@@ -70,7 +70,7 @@
 
 
 def _without_surplus(planned: Sequence[MemberId], usable: Sequence[MemberId], wanted: int) -> list[MemberId]:
-    """Return the witnesses without the pairs beyond `wanted`: unusable ones go first, then the last usable ones."""
+    """Return the witnesses without the pairs beyond `wanted`: drop unusable ones first, then the last usable ones."""
     surplus = max(0, len(planned) - wanted) // 2 * 2
     ranked = sorted(planned, key=lambda member: usable.index(member) if member in usable else len(usable))
     kept = set(ranked[: len(planned) - surplus])
@@ -83,7 +83,7 @@
     usable: Sequence[MemberId],
     is_replaceable: Callable[[MemberId], bool],
 ) -> int | None:
-    """Return the place of the witness that a standby replaces: one at its own address first, else a lost one."""
+    """Return the index of the witness to replace: one at the address of `standby`, else an unusable replaceable one."""
     for place, witness in enumerate(planned):
         if member_ip(witness) == member_ip(standby):
             return place
