--- a/canvasbeam/leases/contact.py
+++ b/canvasbeam/leases/contact.py
@@ -175,12 +175,12 @@
         newest = max(complete, default=None)
         if newest is None or (self.instant is not None and newest <= self.instant):
             return False
-        self._move(newest)
+        self._set_instant(newest)
         return True
 
     # --- helpers ----------------------------------------------------------------------------------
 
-    def _move(self, instant: int) -> None:
+    def _set_instant(self, instant: int) -> None:
         """Set the contact instant, which never decreases; no other method changes the contact instant."""
         self.instant = instant
         self._requests = {number: request for number, request in self._requests.items() if request.sent_at > instant}
