--- a/canvasbeam/storage/disk.py
+++ b/canvasbeam/storage/disk.py
@@ -53,23 +53,23 @@
 
     def write(self, name: str, offset: int, data: bytes) -> None:
         """Write `data` at `offset` of an existing file, extending the file if needed; durable only after `sync`."""
-        with _opened(self._folder / name, os.O_RDWR) as descriptor:
+        with _open_file(self._folder / name, os.O_RDWR) as descriptor:
             os.lseek(descriptor, offset, os.SEEK_SET)
             _write_all(descriptor, data)
 
     def sync(self, name: str) -> None:
         """Make all earlier writes to the file durable."""
-        with _opened(self._folder / name, os.O_RDWR) as descriptor:
+        with _open_file(self._folder / name, os.O_RDWR) as descriptor:
             os.fsync(descriptor)
 
     def sync_folder(self) -> None:
         """Make the directory entries of all files durable."""
-        with _opened(self._folder, os.O_RDONLY) as descriptor:
+        with _open_file(self._folder, os.O_RDONLY) as descriptor:
             os.fsync(descriptor)
 
 
 @contextmanager
-def _opened(path: Path, flags: int) -> Iterator[int]:
+def _open_file(path: Path, flags: int) -> Iterator[int]:
     descriptor = os.open(path, flags)
     try:
         yield descriptor
--- a/canvasbeam/storage/store.py
+++ b/canvasbeam/storage/store.py
@@ -45,7 +45,7 @@
 LOG_FILE = "log"
 MAX_LOG_RECORDS = 64
 MAX_LOG_BYTES = 1 << 20
-_FULL_ERRORS = (errno.ENOSPC, errno.EDQUOT)
+_DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +88,7 @@
         body = encode_updates(updates)
         _apply_updates(self._values, updates)
         try:
-            if self._log_takes(frame_size(len(body))):
+            if self._fits_in_log(frame_size(len(body))):
                 self._append(body)
             else:
                 self._write_slot()
@@ -97,7 +97,7 @@
             return disk_failure(error)
         return None
 
-    def _log_takes(self, size: int) -> bool:
+    def _fits_in_log(self, size: int) -> bool:
         return self._is_log_usable and self._log_records < MAX_LOG_RECORDS and self._log_end + size <= MAX_LOG_BYTES
 
     def _append(self, body: bytes) -> None:
@@ -149,12 +149,12 @@
 
 def disk_failure(error: OSError) -> Failure:
     """Return the `Failure` for an `OSError`: `DISK_FULL` if no space or quota is left, else `DISK_FAILED`."""
-    code = ResultCode.DISK_FULL if error.errno in _FULL_ERRORS else ResultCode.DISK_FAILED
+    code = ResultCode.DISK_FULL if error.errno in _DISK_FULL_ERRNOS else ResultCode.DISK_FAILED
     return Failure(code, str(error))
 
 
 def _open(disk: Disk) -> Store | Failure:
-    _make_files(disk)
+    _create_files(disk)
     slots = [decode_frame(SLOT_MAGIC, disk.read(name) or b"") for name in SLOT_FILES]
     log = _read_log(disk.read(LOG_FILE) or b"")
     generations = [slot.generation if slot is not None else 0 for slot in slots]
@@ -166,12 +166,12 @@
     if generation and log.stray_generation == generation:
         return Failure(ResultCode.DISK_CORRUPT, f"the log of generation {generation} is damaged in its middle")
     newest = slots[newest_slot]
-    values = _table_of_slot(newest.body) if newest is not None else {}
+    values = _decode_table(newest.body) if newest is not None else {}
     is_log_current = generation > 0 and log_generation == generation
     return Store(disk, values, newest_slot, generation, log if is_log_current else None)
 
 
-def _make_files(disk: Disk) -> None:
+def _create_files(disk: Disk) -> None:
     """Create missing files and sync all: a killed process may have left unsynced writes, which recovery would read."""
     for name in (*SLOT_FILES, LOG_FILE):
         disk.create(name)
@@ -179,7 +179,7 @@
     disk.sync_folder()
 
 
-def _table_of_slot(body: bytes) -> dict[str, bytes]:
+def _decode_table(body: bytes) -> dict[str, bytes]:
     return {name: value for name, value in decode_updates(body).items() if value is not None}
 
 
@@ -189,7 +189,7 @@
     while (frame := decode_frame(LOG_MAGIC, data, offset)) is not None and _continues(chain, frame):
         chain.append(frame)
         offset += frame.size
-    stray = _newest_stray(data, offset, len(chain), chain[0].generation if chain else 0)
+    stray = _newest_stray_generation(data, offset, len(chain), chain[0].generation if chain else 0)
     return _LogContent(tuple(chain), offset, stray)
 
 
@@ -198,7 +198,7 @@
     return frame.generation == generation and frame.sequence == len(chain)
 
 
-def _newest_stray(data: bytes, offset: int, next_sequence: int, chain_generation: int) -> int:
+def _newest_stray_generation(data: bytes, offset: int, next_sequence: int, chain_generation: int) -> int:
     """Return the newest generation of the intact frames after the chain that were written later than the chain."""
     newest = 0
     position = data.find(LOG_MAGIC, offset)
