--- a/canvasbeam/replication/catch_up.py
+++ b/canvasbeam/replication/catch_up.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class _CatchingUp:
+class _MemberCatchUp:
     """The catch-up of one member: the state to install, or the flow of changes to the member."""
 
     stage: CatchUpStage = CatchUpStage.ASKED
@@ -73,7 +73,7 @@
         self._log = log
         self._snapshots = snapshots
         self._timing = timing
-        self._joining: dict[MemberId, _CatchingUp] = {}
+        self._joining: dict[MemberId, _MemberCatchUp] = {}
 
     def set_members(self, members: Sequence[MemberId], now: int) -> list[Send]:
         """Start the catch-up of new members, and end the catch-up of members that are no longer listed."""
@@ -82,7 +82,7 @@
         sends: list[Send] = []
         for member in members:
             if member not in self._joining:
-                self._joining[member] = _CatchingUp()
+                self._joining[member] = _MemberCatchUp()
                 sends.append(self._install(member, now))
         return sends
 
@@ -90,7 +90,7 @@
         """Resend unanswered messages, and send a new state to members that need changes trimmed from the log."""
         sends: list[Send] = []
         for member, joining in self._joining.items():
-            if joining.flow is not None and not joining.flow.can_go_on:
+            if joining.flow is not None and not joining.flow.is_covered_by_log:
                 self._enter(joining, CatchUpStage.INSTALLING)
             if joining.flow is not None:
                 sends += self._resend(member, joining.flow, now)
@@ -134,7 +134,7 @@
     def is_nearly_caught_up(self, member: MemberId, now: int) -> bool:
         """Return True if the member may join: all changes were sent, and the oldest unconfirmed change is recent."""
         joining = self._joining.get(member)
-        if joining is None or joining.flow is None or not joining.flow.can_go_on:
+        if joining is None or joining.flow is None or not joining.flow.is_covered_by_log:
             return False
         return joining.flow.sent == self._log.end and self._log.lag_of(joining.flow.index, now) <= MAX_JOIN_LAG_NS
 
@@ -149,7 +149,7 @@
         asked = [self._began_at.index for joining in self._joining.values() if joining.stage is CatchUpStage.ASKED]
         return min((*followed, *installed, *asked), default=None)
 
-    def _enter(self, joining: _CatchingUp, stage: CatchUpStage) -> None:
+    def _enter(self, joining: _MemberCatchUp, stage: CatchUpStage) -> None:
         """Change the stage of a member; no other method changes a stage."""
         joining.stage = stage
         joining.flow = None
--- a/canvasbeam/replication/change_flow.py
+++ b/canvasbeam/replication/change_flow.py
@@ -47,7 +47,7 @@
         self._in_flight: deque[_BatchInFlight] = deque()
 
     @property
-    def can_go_on(self) -> bool:
+    def is_covered_by_log(self) -> bool:
         """Return True if the log still contains every change that the member lacks."""
         return self._log.reaches_back_to(self.index)
 
--- a/canvasbeam/replication/durability.py
+++ b/canvasbeam/replication/durability.py
@@ -26,27 +26,27 @@
 
     def __init__(self) -> None:
         self._unwritten: list[Save] = []
-        self._saves_taken = 0
+        self._saves_batched = 0
         self._saves_durable = 0
         self._saves_queued = 0
         self._waiting: deque[tuple[int, OutgoingMessage]] = deque()
 
     def take(self, actions: Sequence[Action]) -> list[Action]:
         """Queue the saves and the messages that must wait for them; return the actions to carry out immediately."""
-        free: list[Action] = []
+        immediate: list[Action] = []
         for action in actions:
             if isinstance(action, Save):
                 self._unwritten.append(action)
                 self._saves_queued += 1
             elif isinstance(action, Send | SendToAddress) and self._must_wait(action):
-                self._delay(action)
+                self._queue_message(action)
             else:
-                free.append(action)
-        return free
+                immediate.append(action)
+        return immediate
 
-    def _delay(self, action: OutgoingMessage) -> None:
+    def _queue_message(self, action: OutgoingMessage) -> None:
         """Queue a message unless an equal one is queued, so that repeats do not accumulate while a disk stalls."""
-        if all(held != action for _, held in self._waiting):
+        if all(queued != action for _, queued in self._waiting):
             self._waiting.append((self._saves_queued, action))
 
     def _must_wait(self, action: OutgoingMessage) -> bool:
@@ -61,12 +61,12 @@
         """Return all saves not yet in a batch; the driver writes them atomically, in this order."""
         batch = self._unwritten
         self._unwritten = []
-        self._saves_taken += len(batch)
+        self._saves_batched += len(batch)
         return batch
 
     def batch_durable(self) -> list[OutgoingMessage]:
         """Record that the last batch is synced; return the messages whose earlier saves are now all durable."""
-        self._saves_durable = self._saves_taken
+        self._saves_durable = self._saves_batched
         released: list[OutgoingMessage] = []
         while self._waiting and self._waiting[0][0] <= self._saves_durable:
             released.append(self._waiting.popleft()[1])
--- a/canvasbeam/replication/election_timer.py
+++ b/canvasbeam/replication/election_timer.py
@@ -22,17 +22,17 @@
         self._me = me
         self._timing = timing
         self._random = random.Random(f"{me}/{seed}")
-        self._last_sign = now  # last message from a primary or from a member about to become primary
+        self._last_primary_activity = now  # last message from a primary or from a member about to become primary
         self._expires_at = now + timing.first_election_timeout_ns + self._rank_delay(view)
 
     def record_sign_of_primary(self, view: View | None, now: int) -> None:
         """Record a message from a primary or from a member about to become primary, and restart the timeout."""
-        self._last_sign = now
+        self._last_primary_activity = now
         self.restart(view, now)
 
     def record_resignation(self, view: View | None, now: int) -> None:
         """Record that the primary has resigned, so that only the delay by rank is left before an election."""
-        self._last_sign = now - self._timing.election_timeout_ns
+        self._last_primary_activity = now - self._timing.election_timeout_ns
         self.expire_after_rank_delay(view, now)
 
     def restart(self, view: View | None, now: int) -> None:
@@ -45,7 +45,7 @@
 
     def discount_stall(self, stall: int) -> None:
         """Exclude a stall of this process, in nanoseconds, from all timeouts."""
-        self._last_sign += stall
+        self._last_primary_activity += stall
         self._expires_at += stall
 
     def has_expired(self, now: int) -> bool:
@@ -54,11 +54,11 @@
 
     def is_primary_unresponsive(self, now: int) -> bool:
         """Return True if the last message of a primary is older than `unresponsive_after_ns`."""
-        return now - self._last_sign > self._timing.unresponsive_after_ns
+        return now - self._last_primary_activity > self._timing.unresponsive_after_ns
 
     def is_primary_expired(self, now: int) -> bool:
         """Return True if the primary was silent for more than twice `unresponsive_after_ns`, so it is forgotten."""
-        return now - self._last_sign > 2 * self._timing.unresponsive_after_ns
+        return now - self._last_primary_activity > 2 * self._timing.unresponsive_after_ns
 
     def _rank_delay(self, view: View | None) -> int:
         """Return the delay by rank, in nanoseconds; the last primary has the longest, because it has just failed."""
--- a/canvasbeam/replication/member_liveness.py
+++ b/canvasbeam/replication/member_liveness.py
@@ -83,7 +83,7 @@
         seen = self._seen.get(member)
         if seen is None or not seen.healthy or now - seen.failed_at < self._timing.readmission_delay_ns:
             return False
-        return now - seen.last_seen <= self._timing.unresponsive_after_ns and not self._is_succeeded(member)
+        return now - seen.last_seen <= self._timing.unresponsive_after_ns and not self._is_superseded(member)
 
     def is_steady(self, member: MemberId, now: int) -> bool:
         """Return True if a member is alive and was seen without a gap for at least `steady_after_ns`."""
@@ -120,7 +120,7 @@
         for member in [member for member, seen in self._seen.items() if now - seen.last_seen > FORGET_AFTER_NS]:
             del self._seen[member]
 
-    def _is_succeeded(self, member: MemberId) -> bool:
+    def _is_superseded(self, member: MemberId) -> bool:
         """Return True if another member was seen later at the same address, which means that the disk was replaced."""
         ip = member_ip(member)
         last = self.last_seen(member)
--- a/canvasbeam/replication/snapshots.py
+++ b/canvasbeam/replication/snapshots.py
@@ -72,18 +72,18 @@
             return state
         self._is_used = True
         if self._last_offered is None or self._last_offered[0] is not state:
-            self._last_offered = (state, self._encoded(self._codec, state))
+            self._last_offered = (state, self._encode_offer(self._codec, state))
         return self._last_offered[1]
 
-    def chunk(self, wanted: FetchChunk) -> Chunk | None:
+    def chunk(self, request: FetchChunk) -> Chunk | None:
         """Return the requested chunk, or None if the snapshot is not cached or the chunk number is invalid."""
         self._is_used = True
-        data = self._cached.get(wanted.snapshot)
-        begin = wanted.number * self._chunk_bytes
+        data = self._cached.get(request.snapshot)
+        begin = request.number * self._chunk_bytes
         if data is None or not 0 <= begin < len(data):
             return None
         part = data[begin : begin + self._chunk_bytes]
-        return Chunk(wanted.snapshot, wanted.number, part, zlib.crc32(part))
+        return Chunk(request.snapshot, request.number, part, zlib.crc32(part))
 
     def tick(self, now: int) -> None:
         """Drop the cached snapshots if no offer or request has occurred for `SNAPSHOT_IDLE_NS`."""
@@ -94,7 +94,7 @@
             self._cached.clear()
             self._last_offered = None
 
-    def _encoded(self, codec: StateCodec, state: ControlState) -> ControlState | SnapshotId:
+    def _encode_offer(self, codec: StateCodec, state: ControlState) -> ControlState | SnapshotId:
         data = codec.encode_state(state)
         if len(data) <= self._chunk_bytes:
             return state
@@ -107,7 +107,7 @@
 
 
 @dataclass(slots=True)
-class _Incoming:
+class _IncomingSnapshot:
     """A partially received snapshot, and the message that waits for the complete state."""
 
     snapshot: SnapshotId
@@ -125,7 +125,7 @@
     def __init__(self, codec: StateCodec | None, chunk_bytes: int = CHUNK_BYTES) -> None:
         self._codec = codec
         self._chunk_bytes = chunk_bytes
-        self._incoming: _Incoming | None = None
+        self._incoming: _IncomingSnapshot | None = None
 
     @property
     def received_bytes(self) -> int:
@@ -141,7 +141,7 @@
             return []
         incoming = self._incoming
         if incoming is None or incoming.snapshot != snapshot:
-            incoming = self._incoming = _Incoming(snapshot, source, offer, now)
+            incoming = self._incoming = _IncomingSnapshot(snapshot, source, offer, now)
         elif incoming.source != source:
             incoming.requested_at.clear()
         incoming.source = source
@@ -158,10 +158,10 @@
         incoming.progress_at = now
         if requested_at is not None:
             _adapt_window(incoming, now - requested_at)
-        if len(incoming.chunks) < self._count(incoming.snapshot):
+        if len(incoming.chunks) < self._chunk_count(incoming.snapshot):
             return None
         self._incoming = None
-        state = self._assembled(incoming)
+        state = self._assemble_state(incoming)
         return None if state is None else (incoming.source, replace(incoming.offer, state=state))
 
     def tick(self, now: int) -> list[Send]:
@@ -180,13 +180,13 @@
         held = self._incoming.offer
         return (offer.epoch, offer.position.index) < (held.epoch, held.position.index)
 
-    def _request(self, incoming: _Incoming, now: int) -> list[Send]:
+    def _request(self, incoming: _IncomingSnapshot, now: int) -> list[Send]:
         overdue = [number for number, asked in incoming.requested_at.items() if now - asked >= CHUNK_RETRY_NS]
         for number in overdue:
             del incoming.requested_at[number]
             incoming.window = MIN_CHUNKS_IN_FLIGHT
         sends: list[Send] = []
-        for number in range(self._count(incoming.snapshot)):
+        for number in range(self._chunk_count(incoming.snapshot)):
             if len(incoming.requested_at) >= incoming.window:
                 break
             if number in incoming.chunks or number in incoming.requested_at:
@@ -195,7 +195,7 @@
             sends.append(Send(incoming.source, FetchChunk(incoming.snapshot, number)))
         return sends
 
-    def _count(self, snapshot: SnapshotId) -> int:
+    def _chunk_count(self, snapshot: SnapshotId) -> int:
         return -(-snapshot.size // self._chunk_bytes)
 
     def _is_intact(self, chunk: Chunk) -> bool:
@@ -203,16 +203,16 @@
         expected = min(self._chunk_bytes, chunk.snapshot.size - begin)
         return chunk.number >= 0 and len(chunk.data) == expected > 0 and zlib.crc32(chunk.data) == chunk.checksum
 
-    def _assembled(self, incoming: _Incoming) -> ControlState | None:
+    def _assemble_state(self, incoming: _IncomingSnapshot) -> ControlState | None:
         """Return the decoded state, or None if the chunks do not match the offered snapshot id."""
-        data = b"".join(incoming.chunks[number] for number in range(self._count(incoming.snapshot)))
+        data = b"".join(incoming.chunks[number] for number in range(self._chunk_count(incoming.snapshot)))
         if self._codec is None or snapshot_id(data) != incoming.snapshot:
             return None
         state = self._codec.decode_state(data)
         return None if isinstance(state, Failure) else state
 
 
-def _adapt_window(incoming: _Incoming, delay: int) -> None:
+def _adapt_window(incoming: _IncomingSnapshot, delay: int) -> None:
     """Grow the window by one for a quick chunk, which doubles it per round trip; shrink it by one for a slow chunk."""
     if delay <= QUICK_ANSWER_NS:
         incoming.window = min(incoming.window + 1, MAX_CHUNKS_IN_FLIGHT)
--- a/canvasbeam/replication/view_planning.py
+++ b/canvasbeam/replication/view_planning.py
@@ -33,8 +33,8 @@
         self._answer_grace_ns = answer_grace_ns
         self._is_caught_up = is_caught_up
         # Epoch of the candidacy that found too few members that are not leaving, and the time since which it waits.
-        self._short_epoch = NO_EPOCH
-        self._short_since = 0
+        self._shortage_epoch = NO_EPOCH
+        self._shortage_since = 0
 
     def plan(self, base: View, in_force: bool, epoch: Epoch, promised: frozenset[MemberId], now: int) -> View | None:
         """Return the view that a candidate should propose, or None if the candidate should wait for more promises.
@@ -110,10 +110,10 @@
         )
 
     def _has_waited_for_staying(self, epoch: Epoch, now: int) -> bool:
-        if self._short_epoch != epoch:
-            self._short_epoch = epoch
-            self._short_since = now
-        return now - self._short_since >= self._answer_grace_ns
+        if self._shortage_epoch != epoch:
+            self._shortage_epoch = epoch
+            self._shortage_since = now
+        return now - self._shortage_since >= self._answer_grace_ns
 
     def _is_replaceable(self, member: MemberId, now: int) -> bool:
         return self._liveness.is_leaving(member) or self._liveness.is_replaceable(member, now)
--- a/canvasbeam/replication/view_rules.py
+++ b/canvasbeam/replication/view_rules.py
@@ -56,7 +56,7 @@
     planned = list(witnesses)
     standbys = [member for member in usable if member not in planned]
     for standby in list(standbys):
-        place = _place_for(standby, planned, usable, is_replaceable)
+        place = _index_to_replace(standby, planned, usable, is_replaceable)
         if place is not None:
             planned[place] = standby
             standbys.remove(standby)
@@ -77,7 +77,7 @@
     return [member for member in planned if member in kept]
 
 
-def _place_for(
+def _index_to_replace(
     standby: MemberId,
     planned: Sequence[MemberId],
     usable: Sequence[MemberId],
