--- a/canvasbeam/storage/store.py
+++ b/canvasbeam/storage/store.py
@@ -164,7 +164,9 @@
     if log_generation > generation or log.stray_generation > generation:
         return Failure(ResultCode.DISK_CORRUPT, f"the slot of generation {max(log_generation, generation)} is damaged")
     if generation and log.stray_generation == generation:
-        return Failure(ResultCode.DISK_CORRUPT, f"the log of generation {generation} is damaged in its middle")
+        return Failure(
+            ResultCode.DISK_CORRUPT, f"the log of generation {generation} is damaged before its last intact frame"
+        )
     newest = slots[newest_slot]
     values = _decode_table(newest.body) if newest is not None else {}
     is_log_current = generation > 0 and log_generation == generation
