--- a/canvasbeam/replication/departure.py
+++ b/canvasbeam/replication/departure.py
@@ -1,4 +1,4 @@
-"""The departure of a member that may not return: it may stop once enough other members store the state.
+"""The departure of a member that may not return: the member may stop once enough other members store the state.
 
 | state | meaning | next state |
 | --- | --- | --- |
--- a/canvasbeam/replication/durability.py
+++ b/canvasbeam/replication/durability.py
@@ -45,7 +45,7 @@
         return immediate
 
     def _queue_message(self, action: OutgoingMessage) -> None:
-        """Queue a message unless an equal one is queued, so that repeats do not accumulate while a disk stalls."""
+        """Queue a message unless an equal one is queued already: repeats must not accumulate while a disk stalls."""
         if all(queued != action for _, queued in self._waiting):
             self._waiting.append((self._saves_queued, action))
 
--- a/canvasbeam/replication/removal.py
+++ b/canvasbeam/replication/removal.py
@@ -1,4 +1,4 @@
-"""The permanent removal of a control process by the operator: whether it is allowed, and its progress.
+"""The permanent removal of a control process by the operator: whether the removal is allowed, and its progress.
 
 The module does no I/O: the decision depends on the view only, and the caller tells the member to leave.
 """
--- a/canvasbeam/replication/resilience.py
+++ b/canvasbeam/replication/resilience.py
@@ -20,7 +20,7 @@
 
 
 def resilience_of(view: View, is_reconfiguration_complete: bool, tolerated_machines: int) -> Resilience:
-    """Return the resilience of a view; the view alone shows it, because every usable witness is a replica."""
+    """Return the resilience of a view; the view alone determines the result: every usable witness is a replica."""
     margins = [len(view.replicas) - fewest_replicas(len(view.witnesses), tolerated_machines)]
     margins.append(_majority_margin(view.replicas, view.witnesses))
     if not is_reconfiguration_complete:
