--- a/canvasbeam/replication/election_timer.py
+++ b/canvasbeam/replication/election_timer.py
@@ -25,7 +25,7 @@
         self._last_primary_activity = now  # last message from a primary or from a member about to become primary
         self._expires_at = now + timing.first_election_timeout_ns + self._rank_delay(view)
 
-    def record_sign_of_primary(self, view: View | None, now: int) -> None:
+    def record_primary_activity(self, view: View | None, now: int) -> None:
         """Record a message from a primary or from a member about to become primary, and restart the timeout."""
         self._last_primary_activity = now
         self.restart(view, now)
--- a/canvasbeam/replication/member.py
+++ b/canvasbeam/replication/member.py
@@ -223,7 +223,7 @@
 
     def _step_down_for(self, sender: MemberId, now: int) -> list[Action]:
         """Restart the election timer and step down for a primary or candidate whose epoch is not refused."""
-        self._shared.election.record_sign_of_primary(self._shared.known_view.view, now)
+        self._shared.election.record_primary_activity(self._shared.known_view.view, now)
         if sender == self.me or self.role is Role.FOLLOWER:
             return []
         return self._change_role(RoleEvent.OTHER_LEADS, now)
