--- a/canvasbeam/replication/primary_role.py
+++ b/canvasbeam/replication/primary_role.py
@@ -72,7 +72,7 @@
             if member == shared.me:
                 return Outcome(event=RoleEvent.UNABLE_TO_LEAD)
             shared.liveness.record_failure(member, now)
-        if shared.planner.wants_change(primary.view, now):
+        if shared.planner.needs_view_change(primary.view, now):
             return Outcome(event=RoleEvent.VIEW_OUTDATED)
         followers = shared.planner.followers(primary.view, now)
         return Outcome([*primary.catch_up.set_members(followers, now), *primary.tick(now)])
--- a/canvasbeam/replication/view_planning.py
+++ b/canvasbeam/replication/view_planning.py
@@ -52,7 +52,7 @@
             return None
         return self._propose(ready, base, in_force, epoch, now) or self._propose(usable, base, in_force, epoch, now)
 
-    def wants_change(self, view: View, now: int) -> bool:
+    def needs_view_change(self, view: View, now: int) -> bool:
         """Return True if a primary should change its view: a member is lost, is back, leaves, or can be replaced."""
         ready = self._ready(self._usable(view, None, now), view, now)
         planned = self._propose(self._staying(ready), view, True, view.epoch, now)
