--- a/canvasbeam/replication/primary_role.py
+++ b/canvasbeam/replication/primary_role.py
@@ -129,7 +129,7 @@
         primary = self.primary
         if member in primary.view.replicas or not primary.is_reconfiguration_complete:
             return None
-        if self._shared.planner.will_change(primary.view, now):
+        if self._shared.planner.will_need_view_change(primary.view, now):
             return None
         liveness = self._shared.liveness
         if not all(standby in primary.view.members or liveness.may_join(standby, now) for standby in standbys):
--- a/canvasbeam/replication/view_planning.py
+++ b/canvasbeam/replication/view_planning.py
@@ -58,7 +58,7 @@
         planned = self._propose(self._staying(ready), view, True, view.epoch, now)
         return _is_change(planned or self._propose(ready, view, True, view.epoch, now), view)
 
-    def will_change(self, view: View, now: int) -> bool:
+    def will_need_view_change(self, view: View, now: int) -> bool:
         """Return True if a primary should change its view now, or once the joining members have caught up."""
         staying = self._staying(self._usable(view, None, now))
         return _is_change(self._propose(staying, view, True, view.epoch, now), view)
