--- a/canvasbeam/replication/primary_role.py
+++ b/canvasbeam/replication/primary_role.py
@@ -74,8 +74,8 @@
             shared.liveness.record_failure(member, now)
         if shared.planner.needs_view_change(primary.view, now):
             return Outcome(event=RoleEvent.VIEW_OUTDATED)
-        followers = shared.planner.followers(primary.view, now)
-        return Outcome([*primary.catch_up.set_members(followers, now), *primary.tick(now)])
+        members_to_catch_up = shared.planner.members_to_catch_up(primary.view, now)
+        return Outcome([*primary.catch_up.set_members(members_to_catch_up, now), *primary.tick(now)])
 
     def take_answer(self, sender: MemberId, answer: Answer, now: int) -> Outcome:
         """Process an answer of a witness, a replica or a joining member in this view's epoch."""
--- a/canvasbeam/replication/view_planning.py
+++ b/canvasbeam/replication/view_planning.py
@@ -63,7 +63,7 @@
         staying = self._staying(self._usable(view, None, now))
         return _is_change(self._propose(staying, view, True, view.epoch, now), view)
 
-    def followers(self, view: View, now: int) -> list[MemberId]:
+    def members_to_catch_up(self, view: View, now: int) -> list[MemberId]:
         """Return the live non-replicas, which a primary keeps caught up so that each of them may join at any time."""
         staying = self._staying(self._known(view))
         others = [member for member in staying if member not in (self._me, *view.replicas)]
