--- a/canvasbeam/replication/resilience.py
+++ b/canvasbeam/replication/resilience.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from canvasbeam.replication.view_rules import fewest_replicas
+from canvasbeam.replication.view_rules import min_replicas
 from canvasbeam.replication.views import MemberId, View
 
 
@@ -21,7 +21,7 @@
 
 def resilience_of(view: View, is_reconfiguration_complete: bool, tolerated_machines: int) -> Resilience:
     """Return the resilience of a view; the view alone determines the result: every usable witness is a replica."""
-    margins = [len(view.replicas) - fewest_replicas(len(view.witnesses), tolerated_machines)]
+    margins = [len(view.replicas) - min_replicas(len(view.witnesses), tolerated_machines)]
     margins.append(_majority_margin(view.replicas, view.witnesses))
     if not is_reconfiguration_complete:
         margins.append(_majority_margin(view.replicas, view.previous_witnesses))
--- a/canvasbeam/replication/view_planning.py
+++ b/canvasbeam/replication/view_planning.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 
 from canvasbeam.replication.member_liveness import MemberLiveness
-from canvasbeam.replication.view_rules import fewest_replicas, plan_view, plan_witnesses
+from canvasbeam.replication.view_rules import min_replicas, plan_view, plan_witnesses
 from canvasbeam.replication.views import NO_EPOCH, Epoch, MemberId, View
 
 
@@ -81,7 +81,7 @@
         if any(witness == member or self._liveness.is_leaving(witness) for witness in planned):
             return False
         copies = sum(1 for witness in planned if witness in staying)
-        return copies >= fewest_replicas(len(planned), self._tolerated_machines)
+        return copies >= min_replicas(len(planned), self._tolerated_machines)
 
     def _known(self, base: View) -> list[MemberId]:
         return list(dict.fromkeys((self._me, *base.members, *sorted(self._liveness.known()))))
--- a/canvasbeam/replication/view_rules.py
+++ b/canvasbeam/replication/view_rules.py
@@ -32,12 +32,12 @@
         previous = base.witnesses
         witnesses = plan_witnesses(base.witnesses, usable, is_replaceable, 2 * tolerated_machines + 1)
     replicas = tuple(dict.fromkeys(member for member in (primary, *witnesses) if member in usable))
-    if primary not in witnesses or len(replicas) < fewest_replicas(len(witnesses), tolerated_machines):
+    if primary not in witnesses or len(replicas) < min_replicas(len(witnesses), tolerated_machines):
         return None
     return View(epoch, primary, replicas, witnesses, previous)
 
 
-def fewest_replicas(witnesses: int, tolerated_machines: int) -> int:
+def min_replicas(witnesses: int, tolerated_machines: int) -> int:
     """Return one more than `tolerated_machines`, or a majority of the witnesses while the system is too small."""
     return min(tolerated_machines + 1, witnesses // 2 + 1)
 
--- a/tests/replication/test_view_rules.py
+++ b/tests/replication/test_view_rules.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from canvasbeam.replication.view_rules import fewest_replicas, plan_view, plan_witnesses
+from canvasbeam.replication.view_rules import min_replicas, plan_view, plan_witnesses
 from canvasbeam.replication.views import Epoch, MemberId, View, genesis_view
 
 A, B, C, D, E, F = (MemberId(f"10.0.0.{number}/0") for number in range(1, 7))
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize(("witnesses", "tolerated", "fewest"), [(3, 1, 2), (5, 2, 3), (3, 2, 2), (1, 1, 1)])
 def test_fewest_replicas(witnesses: int, tolerated: int, fewest: int) -> None:
-    assert fewest_replicas(witnesses, tolerated) == fewest
+    assert min_replicas(witnesses, tolerated) == fewest
 
 
 def test_a_view_that_may_not_be_in_force_needs_both_majorities() -> None:
