--- a/canvasbeam/replication/invariants.py
+++ b/canvasbeam/replication/invariants.py
@@ -7,7 +7,7 @@
 from canvasbeam.replication.shared_state import SharedState
 
 
-def broken_invariants(state: SharedState, role: Role, leadership: Primary | None) -> list[str]:
+def violated_invariants(state: SharedState, role: Role, leadership: Primary | None) -> list[str]:
     """Return a description of each violated invariant of a member; any violation is a fault in the code.
 
     `leadership` is the state of a member that is the primary, or None for other members.
--- a/tests/support/replication_simulation.py
+++ b/tests/support/replication_simulation.py
@@ -16,7 +16,7 @@
 from canvasbeam.replication.control_state import Change, ChangeKind, Committed, ControlState
 from canvasbeam.replication.durability import Outbox
 from canvasbeam.replication.durable_state import DurableState, MemberSettings
-from canvasbeam.replication.invariants import broken_invariants
+from canvasbeam.replication.invariants import violated_invariants
 from canvasbeam.replication.member import Member
 from canvasbeam.replication.messages import (
     AFTER_SYNC,
@@ -385,7 +385,7 @@
 
     def _check_member(self, machine: Machine) -> None:
         member = machine.member
-        broken = [] if member is None else broken_invariants(member.state, member.role, member.leadership)
+        broken = [] if member is None else violated_invariants(member.state, member.role, member.leadership)
         if broken:
             raise InvariantError(f"{machine.me}: {'; '.join(broken)}")
 
