--- a/canvasbeam/distribution/parent_link.py
+++ b/canvasbeam/distribution/parent_link.py
@@ -188,7 +188,7 @@
         """Enter `attached`, or change the parent; the one place that does."""
         left = [*self._candidates, *([self.parent.address] if self.parent else [])]
         self._candidates.clear()
-        self._clocks.forget_all_but(address)
+        self._clocks.retain_only(address)
         self.parent = Parent(address, now, now, contact_at, message.depth, message.time)
         self._was_stale = self._is_stale(now)
         self.changes += 1
--- a/canvasbeam/leases/peer_clock.py
+++ b/canvasbeam/leases/peer_clock.py
@@ -63,7 +63,7 @@
         known = self._clocks.get(address)
         return known is None or known.error > LARGE_ERROR_NS or now - known.learned_at >= RELEARN_AFTER_NS
 
-    def forget_all_but(self, address: Address) -> None:
+    def retain_only(self, address: Address) -> None:
         """Remove the offsets of all peers except `address`."""
         known = self._clocks.get(address)
         self._clocks = {} if known is None else {address: known}
