--- a/canvasbeam/replication/departure.py
+++ b/canvasbeam/replication/departure.py
@@ -68,7 +68,7 @@
             return []
         return self._notify(view, liveness, now)
 
-    def take_grant(self, copies: int) -> None:
+    def record_grant(self, copies: int) -> None:
         """Record the primary's grant: the view excludes this member, and `copies` other members store the state."""
         if self.has_begun:
             self.copies = copies
--- a/canvasbeam/replication/member.py
+++ b/canvasbeam/replication/member.py
@@ -262,7 +262,7 @@
         match answer:
             case LeaveGranted(epoch=epoch, copies=copies):
                 if epoch >= self._shared.witness.promised:
-                    self._shared.departure.take_grant(copies)
+                    self._shared.departure.record_grant(copies)
                 return []
             case Fetched(state=SnapshotId()):
                 is_wanted = self._machine.awaits_state(answer)
--- a/tests/replication/test_departure.py
+++ b/tests/replication/test_departure.py
@@ -29,7 +29,7 @@
     liveness.record_message(D, SECOND)
     departure = Departure(A, ReplicationTiming())
     assert departure.tick(view, liveness, SECOND) == []
-    departure.take_grant(2)
+    departure.record_grant(2)
     assert departure.state.name == "STAYING"
     assert departure.begin(view, liveness, SECOND) == [Send(member, Leave(standbys=(D,))) for member in (B, C)]
     assert departure.begin(view, liveness, SECOND) == []
@@ -43,7 +43,7 @@
     liveness.record_message(B, 2 * SECOND)
     assert departure.tick(view, liveness, 2 * SECOND) == [Send(member, Leave()) for member in (B, C)]
     assert departure.state.name == "LEAVING"
-    departure.take_grant(2)
+    departure.record_grant(2)
     liveness.record_leaving(B, 2 * SECOND)
     departure.tick(view, liveness, 2 * SECOND + 1)
     assert departure.state.name == "GRANTED"
