--- a/canvasbeam/replication/primary_role.py
+++ b/canvasbeam/replication/primary_role.py
@@ -144,7 +144,7 @@
             primary.view,
             primary.is_reconfiguration_complete,
             known=self._shared.liveness.known(),
-            can_do_without=lambda member: planner.can_do_without(member, primary.view, now),
+            can_remove=lambda member: planner.can_remove(member, primary.view, now),
         )
 
     def is_caught_up(self, member: MemberId, now: int) -> bool:
--- a/canvasbeam/replication/removal.py
+++ b/canvasbeam/replication/removal.py
@@ -25,13 +25,13 @@
     is_reconfiguration_complete: bool,
     *,
     known: Collection[MemberId],
-    can_do_without: Callable[[MemberId], bool],
+    can_remove: Callable[[MemberId], bool],
 ) -> Removal | Failure:
     """Return the progress of removing the members at `ip`, or a `Failure` if the removal is impossible."""
     present = at_address(ip, (*view.replicas, *view.witnesses))
     if not present and not at_address(ip, (*view.previous_witnesses, *known)):
         return Failure(ResultCode.MEMBER_UNKNOWN, f"no control process was ever heard at {ip}")
-    if any(not can_do_without(member) for member in present):
+    if any(not can_remove(member) for member in present):
         return Failure(
             ResultCode.MEMBER_NEEDED, f"no other control process can take the place of {ip}: start one first"
         )
--- a/canvasbeam/replication/view_planning.py
+++ b/canvasbeam/replication/view_planning.py
@@ -69,7 +69,7 @@
         others = [member for member in staying if member not in (self._me, *view.replicas)]
         return [member for member in others if self._liveness.is_alive(member, now)]
 
-    def can_do_without(self, member: MemberId, view: View, now: int) -> bool:
+    def can_remove(self, member: MemberId, view: View, now: int) -> bool:
         """Return True if the remaining members, without `member` and leaving ones, can keep as many voters."""
         staying = [other for other in self._staying(self._usable(view, None, now)) if other != member]
         planned = plan_witnesses(
--- a/tests/replication/test_removal.py
+++ b/tests/replication/test_removal.py
@@ -90,6 +90,5 @@
     view = View(Epoch(1, A), A, (A, C, D), (A, C, D), (A, B, C))
     for is_reconfiguration_complete, expected in ((False, Removal.IN_PROGRESS), (True, Removal.DONE)):
         assert (
-            removal_of("10.0.0.2", view, is_reconfiguration_complete, known=(B,), can_do_without=lambda _: True)
-            is expected
+            removal_of("10.0.0.2", view, is_reconfiguration_complete, known=(B,), can_remove=lambda _: True) is expected
         )
