--- a/canvasbeam/control_plane/__main__.py
+++ b/canvasbeam/control_plane/__main__.py
@@ -1,6 +1,6 @@
-"""Run `python3 -m canvasbeam.control_plane`: the process of the control state, the registry and the directory.
+"""Run the control process (control state, registry and directory): `python3 -m canvasbeam.control_plane`.
 
-Nothing is imported here that `open_listeners` need not have: the ports listen before the program is loaded.
+This module imports only what `open_listeners` needs, so that the ports listen before the program is imported.
 """
 
 import gc
@@ -8,12 +8,15 @@
 
 
 def main() -> int:
-    """Listen, import the program without collecting garbage, of which imports leave hardly any, and run it."""
+    """Open the listeners, import the program, and run the program.
+
+    Garbage collection is disabled during the imports, because imports create hardly any garbage.
+    """
     gc.disable()
-    from canvasbeam.runtime.listeners import open_listeners  # noqa: PLC0415  # after gc.disable()
+    from canvasbeam.runtime.listeners import open_listeners  # noqa: PLC0415  # imported after gc.disable()
 
     listeners = open_listeners(("control", "directory"))
-    from canvasbeam.control_plane import program  # noqa: PLC0415  # the ports listen by now
+    from canvasbeam.control_plane import program  # noqa: PLC0415  # imported after the ports listen
 
     gc.freeze()
     gc.enable()
--- a/canvasbeam/control_plane/control_state_record.py
+++ b/canvasbeam/control_plane/control_state_record.py
@@ -1,6 +1,7 @@
-"""Encode the control state as members store and send it, and decode it: `canvasbeam/cluster/control_state.proto`.
+"""Encode and decode the control state as a `ControlStateRecord` of `canvasbeam/cluster/control_state.proto`.
 
-The record's names stay, whatever the code calls a field. The bytes of a state are the same on every member.
+Members store these bytes and send the bytes to each other. The field names of the record never change, even where the
+code has other names: `taken_orders` is `applied_change_keys`. Every member encodes a state to the same bytes.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 def encode_state(state: ControlState) -> bytes:
-    """Return the state as it is stored and sent."""
+    """Return the bytes of a state, which members store and send."""
     record = ControlStateRecord(
         index=state.index,
         generation=state.generation,
@@ -34,7 +35,7 @@
 def decode_state(data: bytes) -> ControlState | Failure:
     """Return the state that was encoded, or a failure of code `DISK_CORRUPT`.
 
-    Keys of another length come from earlier releases, which stored digests alone: they are dropped.
+    Keys of applied changes are dropped if their length is not `CHANGE_KEY_BYTES`: earlier releases stored only digests.
     """
     try:
         record = ControlStateRecord.FromString(data)
@@ -53,5 +54,5 @@
 
 
 def _encode_configuration(configuration: Mapping[str, JsonValue]) -> bytes:
-    """Return compact JSON."""
+    """Return a configuration as compact JSON."""
     return json.dumps(configuration, separators=(",", ":")).encode("ascii")
--- a/canvasbeam/control_plane/departure_wait.py
+++ b/canvasbeam/control_plane/departure_wait.py
@@ -1,4 +1,4 @@
-"""Wait until a replication member may end for good, and write to the log how that went."""
+"""Wait until a replication member may leave its view permanently, and log the outcome."""
 
 from __future__ import annotations
 
@@ -14,11 +14,14 @@
 
 
 async def leave_view(driver: MemberDriver, within_s: float) -> None:
-    """Hand the view on, and wait until a view without this member holds enough replicas, or the time is over."""
+    """Leave the view; return once the member may end, or after `within_s` seconds.
+
+    The member may end once a view in force without this member has enough replicas, or if no other member remains.
+    """
     member = driver.member
     began_at_s = time.monotonic()
     driver.leave()
-    # The member has no event for this: it decides in its ticks.
+    # The loop polls at the interval of the member's ticks, because the member emits no event when `may_end` changes.
     while not member.state.departure.may_end and time.monotonic() - began_at_s < within_s:  # noqa: ASYNC110
         await asyncio.sleep(TICK_SECONDS)
     _log_outcome(member, time.monotonic() - began_at_s)
@@ -29,7 +32,7 @@
         case DepartureState.GRANTED:
             log.info("departure granted waited_s={:.1f} other_replicas={}", waited_s, member.state.departure.copies)
         case DepartureState.ALONE:
-            log.info("departure without successor waited_s={:.1f} reason=no other member stays", waited_s)
+            log.info("departure without successor waited_s={:.1f} reason=no other member remains", waited_s)
         case _:
             log.warning("departure not granted waited_s={:.1f} reason={}", waited_s, _why_not_granted(member))
 
@@ -39,4 +42,4 @@
         return "no primary is known"
     if member.state.known_view.view is not None and member.me in member.state.known_view.view.replicas:
         return "too few other replicas are usable to form a view without this member"
-    return f"the primary {member.state.known_primary.member} has not put a view without this member in force"
+    return f"the primary {member.state.known_primary.member} has not confirmed a view in force without this member"
--- a/canvasbeam/control_plane/disk_worker.py
+++ b/canvasbeam/control_plane/disk_worker.py
@@ -1,7 +1,7 @@
-"""Run the blocking calls of a disk in one thread, and watch the disk's health.
+"""Run the blocking calls of a disk in one thread, and monitor the disk's health.
 
-The event loop never waits for the disk. A batch that the disk refuses is retried until it takes it; meanwhile the disk
-counts as unhealthy, as it does while a batch takes too long.
+The event loop never waits for the disk. A batch of updates is retried until the write succeeds. The disk counts as
+unhealthy from a failed write, or from a write that exceeds its time limit, until the next write succeeds.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from canvasbeam.storage.frames import Updates
 from canvasbeam.storage.store import Store
 
-SLOW_SECONDS = 0.6  # that a write may take, and what its size allows for
-SLOW_BYTES_PER_SECOND = 4_000_000
-RETRY_SECONDS = 0.25
+SLOW_SECONDS = 0.6  # fixed part of the time limit of a write
+SLOW_BYTES_PER_SECOND = 4_000_000  # the time limit also grows by the size of the write divided by this rate
+RETRY_SECONDS = 0.25  # delay before a failed write, or a failed open of the store, is retried
 
 Result = TypeVar("Result")
 HealthListener = Callable[[Failure | None], None]
@@ -28,20 +28,20 @@
 
 @dataclass(frozen=True, slots=True)
 class _Call:
-    """A blocking call, and where its outcome goes."""
+    """A blocking call, and the future of an event loop that gets the outcome of the call."""
 
-    call: Callable[[], Any]  # `Any`: calls of all result types stand in one queue; `DiskWorker.run` has the type
+    call: Callable[[], Any]  # `Any`: one queue carries calls of all result types; `DiskWorker.run` is generic
     loop: asyncio.AbstractEventLoop
     future: asyncio.Future[Any]
 
     def run(self) -> None:
-        """Make the call, in the disk's thread, and hand its outcome over to the loop."""
+        """Make the call in the disk thread, and pass the outcome to the event loop."""
         result, error = None, None
         try:
             result = self.call()
-        except Exception as raised:  # raised again where the call is awaited
+        except Exception as raised:  # re-raised where the future is awaited
             error = raised
-        with suppress(RuntimeError):  # the loop was closed meanwhile
+        with suppress(RuntimeError):  # the event loop is closed already
             self.loop.call_soon_threadsafe(self._finish, result, error)
 
     def _finish(self, result: object, error: Exception | None) -> None:
@@ -54,34 +54,34 @@
 
 
 class DiskWorker:
-    """Runs the blocking calls of a store in order, in a thread of its own, which `close` ends."""
+    """Runs blocking disk calls in order in a dedicated thread, which `close` ends."""
 
     def __init__(self, on_health: HealthListener) -> None:
         self._on_health = on_health
         self._calls: SimpleQueue[_Call | None] = SimpleQueue()
-        # A daemon: a disk that stalls must not hold up the end of the process.
+        # A daemon thread, because a stalled disk must not delay the exit of the process.
         Thread(target=self._work, name="disk", daemon=True).start()
         self._fault: Failure | None = None
 
     @property
     def fault(self) -> Failure | None:
-        """Why the disk is not healthy at present."""
+        """The failure that makes the disk unhealthy at present; None if the disk is healthy."""
         return self._fault
 
     async def run(self, call: Callable[[], Result]) -> Result:
-        """Run a call in the disk's thread; return its result, or raise what it raises."""
+        """Run a call in the disk thread; return the result of the call, or raise its exception."""
         loop = asyncio.get_running_loop()
         future: asyncio.Future[Result] = loop.create_future()
         self._calls.put(_Call(call, loop, future))
         return await future
 
     def _work(self) -> None:
-        """Run one call after the other, as the thread."""
+        """Run the queued calls in order until `close`. The disk thread runs this method."""
         while (call := self._calls.get()) is not None:
             call.run()
 
     async def write(self, store: Store, updates: Updates) -> None:
-        """Return when the updates are durable, however long that takes."""
+        """Write the updates, retrying until a write succeeds; return once the updates are durable."""
         while True:
             failure = await self._timed(store, updates)
             self._set_health(failure)
@@ -105,5 +105,5 @@
             self._on_health(fault)
 
     def close(self) -> None:
-        """Take no more calls; one that is running is not waited for."""
+        """End the thread after the calls queued so far, without waiting for them; later calls never run."""
         self._calls.put(None)
--- a/canvasbeam/control_plane/member_disk.py
+++ b/canvasbeam/control_plane/member_disk.py
@@ -1,8 +1,8 @@
-"""Keep a replication member on its disk: find it at the start, and write what it decides to save.
+"""Load a replication member from its disk at the start, and make the member's saves durable.
 
-Owns the store, the thread that writes it, and the reason why the disk cannot be used. It never discards a save: a batch
-that the disk refuses is tried again until it is durable. Damage found at the start is final: the process then takes no
-part in replication, because what it had promised to others is unknown.
+Owns the store, the disk thread, and the failure that makes the disk unusable. A save is never discarded: a batch of
+saves is retried until the batch is durable. Damage found at the start is final: the process then takes no part in
+replication, because the promises that the member made to other members are unknown.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class MemberDisk:
-    """The disk of one member. `load` first, then `write`; `close` ends the thread."""
+    """The disk of one member. Call `load` before `write`; `close` ends the disk thread."""
 
     def __init__(
         self,
@@ -36,9 +36,9 @@
         on_health: HealthListener,
     ) -> None:
         self._disk = disk
-        self._data_dir = data_dir  # used where no disk is given
+        self._data_dir = data_dir  # folder of the store if `disk` is None
         self._states = states
-        self._apply = apply  # replays the stored changes
+        self._apply = apply  # replays the stored changes on the last snapshot
         self._worker = DiskWorker(on_health)
         self._store: Store | None = None
         self._records: RecordWriter | None = None
@@ -46,18 +46,18 @@
 
     @property
     def start_failure(self) -> Failure | None:
-        """Why the member cannot start, or not yet; None once it has, and while nothing is known to be wrong."""
+        """The failure that prevents the start, or delays the start until a retry; None if no failure is known."""
         return self._start_failure
 
     @property
     def fault(self) -> Failure | None:
-        """Why the disk cannot be used at present, if so."""
+        """The failure that makes the disk unusable at present; None if the disk works."""
         return self._start_failure or self._worker.fault
 
     async def load(self, new_member: Callable[[], LoadedMember]) -> LoadedMember | None:
-        """Return the member of this disk: the one stored, or on an empty disk a new one. None where it is damaged.
+        """Return the stored member, or `new_member()` on an empty disk; return None if the disk is damaged or missing.
 
-        A disk that refuses is asked again for as long as that takes.
+        Other disk errors are retried until the store opens, without a time limit.
         """
         loaded = await self._load(new_member)
         if isinstance(loaded, Failure):
@@ -67,14 +67,14 @@
         return loaded
 
     async def write(self, saves: Sequence[Save]) -> None:
-        """Return when a batch of saves is durable, however long that takes."""
+        """Write a batch of saves, retrying until the batch is durable. Raises `RuntimeError` if nothing was loaded."""
         if self._store is None or self._records is None:
-            raise RuntimeError("`write` before `load`")
+            raise RuntimeError("MemberDisk.write was called before MemberDisk.load")
         updates = self._records.updates(saves)
         await self._worker.write(self._store, updates)
 
     def close(self) -> None:
-        """End the thread; a write that is running is not waited for."""
+        """End the disk thread, without waiting for a running write."""
         self._worker.close()
 
     async def _load(self, new_member: Callable[[], LoadedMember]) -> LoadedMember | Failure:
@@ -86,12 +86,12 @@
         loaded = await self._worker.run(lambda: load_member(store.values, self._states, self._apply))
         if loaded is None:
             loaded = new_member()
-            # The id is on the disk before the first message carries it.
+            # The member's id must be durable before the first message carries the id.
             await self._worker.write(store, self._records.first(loaded.member, loaded.durable))
         return loaded
 
     async def _open(self) -> Store | Failure:
-        """Open the store, trying again for as long as the disk refuses; damage is final."""
+        """Open the store, retrying after disk errors; damage to the stored data is not retried."""
         disk = self._disk
         if disk is None:
             if self._data_dir is None:
--- a/canvasbeam/control_plane/member_driver.py
+++ b/canvasbeam/control_plane/member_driver.py
@@ -1,9 +1,9 @@
-"""Drive `canvasbeam.replication.member.Member`: give it messages, time and calls, and carry out what it decides.
+"""Drive `canvasbeam.replication.member.Member`: pass in messages, time and calls, and carry out the member's actions.
 
-Owns the member and its outbox. Actions are carried out in the member's order, except that a message which vouches for
-the disk waits in the outbox until everything saved before it is durable. One batch of saves is written at a time; the
-saves that come meanwhile make the next batch. All methods run on the event loop and none waits for the disk, but
-`run_writes`, which does nothing else.
+Owns the member and its outbox. Actions are carried out in the member's order, with one exception: a message that
+confirms data on this member's disk (`messages.AFTER_SYNC`) waits in the outbox until every earlier save is durable. One
+batch of saves is written at a time; saves made during a write form the next batch. All methods run on the event loop.
+Only `run_writes` waits for the disk, and `run_writes` does nothing else.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 from canvasbeam.replication.roles import Role
 from canvasbeam.replication.views import member_ip
 
-TICK_SECONDS = 0.05
+TICK_SECONDS = 0.05  # interval of the member's ticks
 
 
 class MemberDriver:
-    """Runs one member: `begin`, then `run_ticks` and `run_writes` until cancelled."""
+    """Drives one member: call `begin` first, then run `run_ticks` and `run_writes` until cancelled."""
 
     def __init__(
         self,
@@ -51,58 +51,58 @@
 
     @property
     def member(self) -> Member:
-        """The member, to be read; whatever makes it decide goes through this driver."""
+        """The member, for reading. Events must go through this driver, which carries out the resulting actions."""
         return self._member
 
     @property
     def is_primary(self) -> bool:
-        """Whether the member leads, as far as it knows."""
+        """True if the member leads, as far as the member knows."""
         return self._member.role in (Role.PRIMARY, Role.REFORMING)
 
     def begin(self) -> None:
-        """Take part from now on."""
+        """Begin to receive messages, and carry out the member's first actions."""
         self._link.deliver_to(self._receive)
         self._perform(self._member.begin())
 
     def submit(self, call: int, change: Change) -> None:
-        """Have the member carry out a change; the call of this number gets the result."""
+        """Submit a change to the member; the pending call with number `call` gets the result."""
         self._perform(self._member.submit(call, change, time.monotonic_ns()))
 
     def read(self, call: int) -> None:
-        """Have the member confirm its state; the call of this number gets the result."""
+        """Request a confirmed read of the state; the pending call with number `call` gets the result."""
         self._perform(self._member.read(call, time.monotonic_ns()))
 
     def set_healthy(self, is_healthy: bool) -> None:
-        """Take what is known of the own disk: a member whose disk is unhealthy does not lead."""
+        """Record whether this node's disk is healthy; a member whose disk is unhealthy does not lead."""
         self._perform(self._member.set_healthy(is_healthy, time.monotonic_ns()))
 
     def set_seed_ips(self, seed_ips: tuple[str, ...]) -> None:
-        """Take the addresses at which other members may be."""
+        """Replace the seed IP addresses, at which other members may run."""
         self._member.set_seed_ips(seed_ips)
 
     def remove(self, ip: str) -> Removal | Failure:
-        """Ask the member at an address to leave, where it may; return how far its removal is."""
+        """Ask the member at an IP address to leave, if permitted; return the progress of the removal, or a failure."""
         outcome = self._member.removal(ip, time.monotonic_ns())
         if not isinstance(outcome, Failure):
             self._perform(self._member.request_leave(ip))
         return outcome
 
     def leave(self) -> None:
-        """Begin to leave the view for good."""
+        """Begin to leave the view permanently."""
         self._perform(self._member.leave(time.monotonic_ns()))
 
     def resign(self) -> None:
-        """Hand the lead on, where this member has it."""
+        """Resign if this member is the primary."""
         self._perform(self._member.resign(time.monotonic_ns()))
 
     async def run_ticks(self) -> None:
-        """Give the member the time every `TICK_SECONDS` until cancelled."""
+        """Tick the member every `TICK_SECONDS` until cancelled."""
         while True:
             self._perform(self._member.tick(time.monotonic_ns()))
             await asyncio.sleep(TICK_SECONDS)
 
     async def run_writes(self) -> None:
-        """Write batch after batch until cancelled; what waited for a batch is sent when it is durable."""
+        """Write batches of saves until cancelled; after each batch, send the messages that waited for the batch."""
         while True:
             await self._has_unwritten.wait()
             self._has_unwritten.clear()
@@ -111,14 +111,15 @@
                 self._send(message)
 
     def _perform(self, actions: Sequence[Action]) -> None:
-        """Carry out what the member decided."""
+        """Carry out the member's actions, and notify the listeners of its current view and leadership."""
         for action in self._outbox.take(actions):
             match action:
                 case Send() | SendToAddress():
                     self._send(action)
                 case Reply(call=call, result=result):
-                    # `Committed` acknowledges a change. It is durable on every replica of the view: each has synced it
-                    # by `MemberDisk.write`, and only then has its `run_writes` sent the `Appended` that was counted.
+                    # `Committed` acknowledges a change, which is durable on every replica of the view: each replica
+                    # synced the change by `MemberDisk.write`, and only then did the replica's `run_writes` send the
+                    # `Appended` that the primary counted.
                     self._calls.resolve(call, result)
                 case Publish(state=state):
                     self._listeners.on_committed(state)
@@ -142,7 +143,10 @@
 
 
 def _addressed_to_caller(action: Action, call: ReceivedMessage) -> Action:
-    """Give an answer the incarnation of the process that called, however long it waits for the disk."""
+    """Return an answer to a request with the incarnation of the requesting process, or any other action unchanged.
+
+    The answer keeps this incarnation, however long the answer waits for the disk.
+    """
     if isinstance(action, Send) and action.to == call.sender and isinstance(action.message, ANSWERS):
         return replace(action, answered_incarnation=call.incarnation)
     return action
--- a/canvasbeam/control_plane/member_records.py
+++ b/canvasbeam/control_plane/member_records.py
@@ -1,4 +1,4 @@
-"""Name what a member stores, and turn its decisions into updates of that.
+"""Name the records that a member stores, and convert the member's saves into updates of these records.
 
 | name | value |
 | --- | --- |
@@ -7,7 +7,7 @@
 | `installed` | the epoch of the replica |
 | `committed` | the index up to which every change is known to be committed |
 | `state` | the state at the last snapshot |
-| `change/…` | the changes since, by index |
+| `change/…` | the changes since the last snapshot, one record each, named by index |
 """
 
 from __future__ import annotations
@@ -37,22 +37,22 @@
 COMMITTED = "committed"
 STATE = "state"
 CHANGE_PREFIX = "change/"
-MAX_CHANGES = 64  # stored since the last snapshot
-MAX_CHANGE_BYTES = 1 << 20
+MAX_CHANGES = 64  # maximum number of changes stored since the last snapshot
+MAX_CHANGE_BYTES = 1 << 20  # maximum total size of the changes stored since the last snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class LoadedMember:
-    """A member as its store describes it."""
+    """A member's id and durable state, as loaded from its store."""
 
     member: MemberId
     durable: DurableState
 
 
 class RecordWriter:
-    """Turns the saves of a member into updates; a snapshot replaces the changes when they are many.
+    """Converts a member's saves into updates of its records; a snapshot replaces the stored changes beyond a limit.
 
-    Owns the sizes of the changes that are stored since the last snapshot.
+    Owns the sizes of the changes stored since the last snapshot.
     """
 
     def __init__(self, codec: ControlStateCodec, stored: Mapping[str, bytes]) -> None:
@@ -60,7 +60,7 @@
         self._change_bytes = {name: len(value) for name, value in stored.items() if name.startswith(CHANGE_PREFIX)}
 
     def first(self, member: MemberId, durable: DurableState) -> Updates:
-        """Return all records of a member that begins."""
+        """Return the records of a new member."""
         return {
             MEMBER: member.encode(),
             WITNESS: encode_witness(durable.promised, durable.accepted, durable.in_force),
@@ -69,7 +69,7 @@
         }
 
     def updates(self, saves: Iterable[Save]) -> Updates:
-        """Return one update for a batch of saves, in their order."""
+        """Return one update of the store for a batch of saves, applied in order."""
         updates: dict[str, bytes | None] = {}
         for save in saves:
             match save:
@@ -103,7 +103,7 @@
 def load_member(
     stored: Mapping[str, bytes], codec: ControlStateCodec, apply: ApplyChange
 ) -> LoadedMember | Failure | None:
-    """Return the member of a store, None where it is empty, or a failure of code `DISK_CORRUPT`."""
+    """Return the stored member, None if the store is empty, or a failure of code `DISK_CORRUPT`."""
     if not stored:
         return None
     missing = [name for name in (MEMBER, WITNESS, INSTALLED, STATE) if name not in stored]
--- a/canvasbeam/control_plane/owned_tasks.py
+++ b/canvasbeam/control_plane/owned_tasks.py
@@ -1,4 +1,4 @@
-"""Own the background tasks of a part of the control process: none is lost, and none fails without a line in the log."""
+"""Own the background tasks of one part of the control process: keep each task until its end, and log each failure."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 class OwnedTasks:
-    """Tasks that live until their owner cancels them. One that raises is logged; the others go on."""
+    """Tasks that run until their owner cancels them. The exception of a failed task is logged; other tasks continue."""
 
     def __init__(self) -> None:
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self, work: Coroutine[None, None, None], name: str) -> None:
-        """Run a coroutine from now on; the name stands in the log where it fails."""
+        """Start a coroutine as a task; the log names the task by `name` if the task fails."""
         task = asyncio.create_task(work, name=name)
         task.add_done_callback(_log_exception)
         self._tasks.append(task)
 
     def cancel(self) -> None:
-        """Cancel all tasks without waiting for them."""
+        """Cancel all tasks, without waiting for their end."""
         for task in self._tasks:
             task.cancel()
 
     async def wait(self, within_s: float) -> None:
-        """Wait until all tasks have ended, at most this many seconds."""
+        """Wait until all tasks have ended, or at most `within_s` seconds."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=within_s)
 
--- a/canvasbeam/control_plane/pending_calls.py
+++ b/canvasbeam/control_plane/pending_calls.py
@@ -1,7 +1,8 @@
-"""Keep the operators' calls that wait for the replicated control state.
+"""Track the operators' calls that wait for a result from the replicated control state.
 
-Owns the numbers by which a member answers calls, and the futures on which the callers wait. Every call has exactly one
-result: the member's, or the failure with which the process ends; a caller that gives up takes its call with it.
+Owns the call numbers, by which the member's results are matched to calls, and the futures that the callers await. Every
+call has exactly one result: the member's result, or the failure of `fail_all` when the process stops. A call is removed
+if its caller is cancelled.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingCall:
-    """A call that the member is given by its number, and whose result its caller awaits."""
+    """A call: the number that identifies the call to the member, and the future that the caller awaits."""
 
     number: int
     result: asyncio.Future[CallResult]
 
 
 class PendingCalls:
-    """The calls of one process that have no result yet."""
+    """The calls of this process that have no result yet."""
 
     def __init__(self) -> None:
         self._numbers = count()
@@ -35,7 +36,7 @@
 
     @contextmanager
     def open(self) -> Iterator[PendingCall]:
-        """Begin a call; it is forgotten where the block ends, also when its caller is cancelled."""
+        """Register a new call, and remove the call when the `with` block exits, also if the caller is cancelled."""
         call = PendingCall(next(self._numbers), asyncio.get_running_loop().create_future())
         self._pending[call.number] = call
         try:
@@ -44,12 +45,12 @@
             self._pending.pop(call.number, None)
 
     def resolve(self, number: int, result: CallResult) -> None:
-        """Give a call its result, where it still waits."""
+        """Set the result of a call, if the call is still pending."""
         call = self._pending.pop(number, None)
         if call is not None and not call.result.done():
             call.result.set_result(result)
 
     def fail_all(self, failure: Failure) -> None:
-        """Give every call that still waits the same failure."""
+        """Resolve every pending call with the same failure."""
         for number in list(self._pending):
             self.resolve(number, failure)
--- a/canvasbeam/control_plane/program.py
+++ b/canvasbeam/control_plane/program.py
@@ -1,6 +1,7 @@
-"""Run the control process: make its parts, start them and end them in order.
+"""Run the control process: create its parts, and start and stop the parts in order.
 
-Owns every part and the background tasks that no part owns. It must decide nothing itself.
+Owns every part, and the background tasks that no part owns. All decisions belong to the parts: this module must not
+take any.
 """
 
 from __future__ import annotations
@@ -36,17 +37,19 @@
 from canvasbeam.runtime.settings import ProcessSettings
 from canvasbeam.storage.disk import FolderDisk
 
-MAX_IGNORED_BODY_BYTES = 4096  # of a request whose body has no meaning
-RESERVED_DESCRIPTORS = 400  # files and connections other than those of HTTP callers
+MAX_IGNORED_BODY_BYTES = 4096  # body limit of requests whose body is ignored
+RESERVED_DESCRIPTORS = 400  # file descriptors for files and connections other than those of HTTP clients
 DRAIN_S = 1.0
 RESIGN_S = 2.0
-LEAVE_MARGIN_S = 3.0  # of `grace_s`, for what follows the leave: `RESIGN_S`, and a second before SIGKILL
+LEAVE_MARGIN_S = 3.0  # part of `grace_s` after the leave: `RESIGN_S`, and one second before SIGKILL
 MIN_LEAVE_S = 0.3
-NO_ELECTORATE = ((),)  # before it knows a view, a control node may be no member of it: nobody can grant it contact
+# Electorates of a control node that knows no view yet. The only electorate is empty, so that nobody can grant a contact
+# lease, because the node may not be a member of the current view.
+NO_ELECTORATE = ((),)
 
 
 class ControlPlane:
-    """Owns all parts of one control node."""
+    """One control node: owns all parts of the node, and starts and stops the parts."""
 
     def __init__(self, settings: ProcessSettings, listeners: Listeners | None = None) -> None:
         self._settings = settings
@@ -99,11 +102,14 @@
         return [Endpoint(RESOLVE_PATH, self._directory.resolve, _no_body)]
 
     def _is_reachable(self, ip: str) -> bool:
-        """Return whether a caller may be redirected there: a node out of contact may know a former primary."""
+        """Return True if callers may be redirected to the control process at an IP address.
+
+        A node without a contact lease redirects no callers, because the node may know only a former primary.
+        """
         return self._node.has_majority() and any(member.ip == ip for member in self._node.control_nodes())
 
     async def start(self) -> Failure | None:
-        """Join the cluster, open the storage, and serve; return why that is not possible."""
+        """Join the cluster, open the storage, and serve; return a failure if an address cannot be opened."""
         try:
             await self._node.start()
         except OSError as error:
@@ -121,12 +127,12 @@
         return None
 
     def change_settings(self, settings: ProcessSettings) -> None:
-        """Take changed settings: of those, the seeds may change while a process runs."""
+        """Apply changed settings. Only the seeds can change while the process runs."""
         self._node.set_seeds(settings.seed_peers)
         self._service.set_seeds(settings.seeds)
 
     async def stop(self) -> None:
-        """End in order: requests in progress are answered, the view is handed on, the other nodes are notified."""
+        """Stop in order: answer the requests in progress, leave the view, resign, and notify the other nodes."""
         began_at_s = time.monotonic()
         self._registry.stop()
         self._node.set_ready(False)
@@ -151,10 +157,10 @@
 
 
 async def run(settings: ProcessSettings, listeners: Listeners | None = None) -> int:
-    """Run one control node until it gets a signal to end; return its exit code."""
+    """Run one control node until a termination signal; return the exit code of the process."""
     return await run_until_terminated(ControlPlane(settings, listeners), settings)
 
 
 def main(listeners: Listeners | None = None) -> int:
-    """Run the program; return its exit code."""
+    """Run the program; return the exit code of the process."""
     return run_process(lambda settings: run(settings, listeners))
--- a/canvasbeam/control_plane/replicated_state.py
+++ b/canvasbeam/control_plane/replicated_state.py
@@ -1,18 +1,18 @@
-"""The replicated control state as a service of the control process.
+"""Provide the replicated control state as a service of the control process.
 
-Puts the parts together and owns their tasks:
+Connects the parts of the service and owns their tasks:
 
 | part | owns |
 | --- | --- |
-| `MemberDisk` | the store and its thread: finds the member at the start, makes its saves durable |
-| `MemberDriver` | the member and its outbox: gives it messages, time and calls, carries out its actions |
+| `MemberDisk` | the store and the disk thread: loads the member at the start, makes the member's saves durable |
+| `MemberDriver` | the member and its outbox: passes in messages, time and calls, carries out the member's actions |
 | `ReplicationLink` | the messages to and from the other members, and the incarnation of this process |
 | `PendingCalls` | the operators' calls that wait for a result |
-| `ReplicationListeners` | whom to notify of committed states, primaries and electorates |
-| `ChangeCheck` | the checks of large changes beside the event loop |
+| `ReplicationListeners` | the listeners for committed states, primaries and electorates |
+| `ChangeCheck` | the checks of large changes in a thread, outside the event loop |
 
-There is no driver until the member of the disk is known; calls get a `Failure` until then. Nothing here decides
-about replication: that is `canvasbeam.replication.member.Member`.
+The driver exists only once the member is loaded from the disk; until then, calls get a `Failure`. This module decides
+nothing about replication: `canvasbeam.replication.member.Member` takes these decisions.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 
 
 class ReplicatedControlState:
-    """Implements `ControlStateService`. The constructor has no effects but the disk's idle thread; `start` begins."""
+    """Implements `ControlStateService`. The constructor only starts the idle disk thread; `start` does the rest."""
 
     def __init__(
         self,
@@ -81,20 +81,20 @@
         self._listeners = ReplicationListeners()
         self._tasks = OwnedTasks()
         self._seed_ips = tuple(seed.host for seed in settings.seeds)
-        self._driver: MemberDriver | None = None  # once the member of the disk is known
+        self._driver: MemberDriver | None = None  # None until the member is loaded from the disk
 
     async def start(self) -> None:
-        """Open the storage and begin to take part; a disk that does not answer is waited for in the background."""
+        """Start a background task that loads the member, however slow the disk is, and takes part in replication."""
         self._link.register()
         self._tasks.start(self._run(), "replication start")
 
     async def leave(self, within_s: float) -> None:
-        """Hand the view on, and wait until a view without this member holds enough replicas, or the time is over."""
+        """Leave the view; return once this member may end, or after `within_s` seconds."""
         if self._driver is not None:
             await leave_view(self._driver, within_s)
 
     def remove(self, ip: str) -> Removal | Failure:
-        """Take the control process at an address out for good; called again, return how far that is."""
+        """Remove the control process at an IP address permanently; return the progress, also when called again."""
         driver = self._driver
         if driver is None:
             return self._not_ready()
@@ -104,7 +104,7 @@
         return outcome
 
     async def stop(self) -> None:
-        """Resign where this node is the primary, and stop; calls that still wait fail with `PRIMARY_LOST`."""
+        """Resign if this node is the primary, and stop; pending calls fail with `PRIMARY_LOST`."""
         if self._driver is not None:
             self._driver.resign()
         self._tasks.cancel()
@@ -113,7 +113,7 @@
         self._calls.fail_all(Failure(ResultCode.PRIMARY_LOST, "this process is ending"))
 
     async def submit(self, change: Change) -> Committed | Failure:
-        """Apply a change on every replica of the view; see `ControlStateService` for the failures."""
+        """Apply a change on every replica of the view; `ControlStateService` describes the failures."""
         driver = self._driver
         if driver is None:
             return self._not_ready()
@@ -127,7 +127,7 @@
             self._check.end(change)
 
     async def read(self) -> ControlState | Failure:
-        """Return the newest state, confirmed with a majority of the witnesses after the call began."""
+        """Return the newest state, confirmed by a majority of the witnesses after the call began."""
         driver = self._driver
         if driver is None:
             return self._not_ready()
@@ -137,46 +137,47 @@
         return result.state if isinstance(result, Committed) else result
 
     def set_seeds(self, seeds: Sequence[Address]) -> None:
-        """Take the seeds of changed settings."""
+        """Replace the seeds after a change of the settings."""
         self._seed_ips = tuple(seed.host for seed in seeds)
         if self._driver is not None:
             self._driver.set_seed_ips(self._seed_ips)
 
     @property
     def state(self) -> ControlState:
-        """The newest state that this node knows to be committed; it may be old."""
+        """The newest state that this node knows to be committed; newer states may be committed elsewhere."""
         return self._listeners.state
 
     @property
     def primary_ip(self) -> str | None:
-        """The IP address of the primary, where one is known."""
+        """The IP address of the primary; None if no primary is known."""
         if self._driver is None or not self._driver.member.state.known_primary.member:
             return None
         return member_ip(self._driver.member.state.known_primary.member)
 
     @property
     def is_primary(self) -> bool:
-        """Whether this node is the primary, as far as it knows."""
+        """True if this node is the primary, as far as the node knows."""
         return self._driver is not None and self._driver.is_primary
 
     def add_commit_listener(self, listener: CommitListener) -> None:
-        """Call this with every newer state that this node knows to be committed, in order."""
+        """Call `listener` with each newer state that this node learns to be committed, in order."""
         self._listeners.add_commit_listener(listener)
 
     def add_primary_listener(self, listener: PrimaryListener) -> None:
-        """Call this with the address of the primary whenever another one, or none, is known."""
+        """Call `listener` with the IP address of each new primary, or with None when no primary is known any more."""
         self._listeners.add_primary_listener(listener)
 
     def add_electorate_listener(self, listener: ElectorateListener) -> None:
-        """Call this with the IP addresses of the witnesses of each newer view that this node learns of.
+        """Call `listener` with the IP addresses of the electorates of each newer view that this node learns of.
 
-        There are two electorates while the view is not in force: its witnesses, and those of the view before.
+        A view in force has one electorate, its witnesses. A view not yet in force has two electorates: its own
+        witnesses and the witnesses of the previous view.
         """
         self._listeners.add_electorate_listener(listener)
 
     @property
     def status(self) -> ReplicationStatus:
-        """The view and this member's part in it."""
+        """The status of this member, as reported by `/v1/status`."""
         fault = self._disk.fault
         disk = DISK_OK if fault is None else str(fault)
         if self._driver is None:
@@ -218,7 +219,10 @@
         )
 
     def _new_member(self) -> LoadedMember:
-        """Return the member of an empty disk: one of the first view, or one that joins."""
+        """Return the member for an empty disk.
+
+        A seed with the setting `bootstrap` gets a member of the genesis view, any other node a member that joins later.
+        """
         seed_ips = {seed.host for seed in self._settings.seeds}
         ip = self._settings.ip
         if self._settings.bootstrap and ip in seed_ips:
--- a/canvasbeam/control_plane/replication_codec.py
+++ b/canvasbeam/control_plane/replication_codec.py
@@ -1,11 +1,11 @@
-"""Encode the messages between members of the replicated control state, and decode them.
+"""Encode and decode the messages between members of the replicated control state.
 
-This is the one place where the messages of `canvasbeam/cluster/replication.proto` and those of
-`canvasbeam.replication.messages` meet: the two tables at the end map every kind. The names on the wire stay, whatever
-the code calls a thing: `settled` is `in_force`, `ViewTold` is `ViewNotice`, `Probe` and `Probed` are `PreVoteRequest`
-and `PreVote`, `misses_primary` is `is_primary_unresponsive`, `Piece` is `Chunk`, `spares` is `standbys`; `life` is the
-incarnation of the sender's process, `answered_life` that of the caller's process in an answer. Unknown or garbled bytes
-become a `Failure` of code `MESSAGE_INVALID`, never an exception.
+Only this module translates between the messages of `canvasbeam/cluster/replication.proto` and those of
+`canvasbeam.replication.messages`: the two tables at the end map every kind of message. Names on the wire never change,
+even where the code has other names: `settled` is `in_force`, `ViewTold` is `ViewNotice`, `Probe` and `Probed` are
+`PreVoteRequest` and `PreVote`, `misses_primary` is `is_primary_unresponsive`, `Piece` is `Chunk`, `spares` is
+`standbys`; `life` is the incarnation of the sender's process; in an answer, `answered_life` is the incarnation of the
+requesting process. Unknown or malformed bytes become a `Failure` of code `MESSAGE_INVALID`, never an exception.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedMessage:
-    """A decoded message, its sender, the incarnation of its process, and the caller's in an answer."""
+    """A decoded message, the sender, the sender's process incarnation, and in an answer the requester's incarnation."""
 
     sender: MemberId
     message: Message
@@ -54,11 +54,11 @@
 
 
 class _UndecodableError(Exception):
-    """A part of the message is not what it should be."""
+    """A message has an unknown kind, or a state that cannot be decoded."""
 
 
 class ReplicationCodec:
-    """Encodes and decodes messages; the codec of the states that some of them carry is given."""
+    """Encodes and decodes messages, with the given codec for the states that some messages contain."""
 
     def __init__(self, states: ControlStateCodec) -> None:
         self._states = states
@@ -70,23 +70,23 @@
         incarnation: int = UNKNOWN_INCARNATION,
         answered_incarnation: int = UNKNOWN_INCARNATION,
     ) -> bytes:
-        """Return the bytes of a message with its sender."""
+        """Return the bytes of an envelope with a message, its sender and the incarnations."""
         envelope = wire.ReplicationEnvelope(sender=sender, life=incarnation, answered_life=answered_incarnation)
         name, part = self._part_of(message)
         getattr(envelope, name).CopyFrom(part)
         return envelope.SerializeToString()
 
     def decode(self, data: bytes) -> ReceivedMessage | Failure:
-        """Return what `encode` was given, or a failure of code `MESSAGE_INVALID`."""
+        """Return the message that `encode` encoded, or a failure of code `MESSAGE_INVALID`."""
         try:
             envelope = wire.ReplicationEnvelope.FromString(data)
             sender, message = MemberId(envelope.sender), self._message_of(envelope)
             return ReceivedMessage(sender, message, envelope.life, envelope.answered_life)
         except (DecodeError, ValueError, _UndecodableError) as error:
-            return Failure(ResultCode.MESSAGE_INVALID, f"a replication message: {error}")
+            return Failure(ResultCode.MESSAGE_INVALID, f"the replication message cannot be decoded: {error}")
 
     def _part_of(self, message: Message) -> tuple[str, WireMessage]:
-        """Return the field of the envelope that a message fills, and its content."""
+        """Return the name of the envelope's field for a message, and the protobuf message for this field."""
         match message:
             case messages.Fetched():
                 return "fetched", self._with_state(
@@ -105,7 +105,7 @@
         name = envelope.WhichOneof("message")
         match name:
             case None:
-                raise _UndecodableError("of an unknown kind")
+                raise _UndecodableError("the kind of the message is unknown")
             case "fetched":
                 return self._decode_fetched(envelope.fetched)
             case "install":
@@ -113,7 +113,7 @@
         return _DECODERS[name](getattr(envelope, name))
 
     def _with_state(self, part: WithState, state: ControlState | SnapshotId | None) -> WithState:
-        """Put a state into a part: itself, or the id of its snapshot."""
+        """Set the state of a protobuf message: the encoded state, or the id of a snapshot; None sets no field."""
         if isinstance(state, SnapshotId):
             part.snapshot.CopyFrom(snapshot_record(state))
         elif state is not None:
@@ -139,7 +139,7 @@
         return state
 
 
-# `Any` in both tables: the functions of one table take different kinds, and which goes with which key no type can say.
+# `Any` in both tables: each function accepts one kind of message, and a type cannot relate a key to its function.
 _ENCODERS: dict[type[Any], tuple[str, Callable[[Any], Any]]] = {
     messages.Hello: ("hello", lambda it: wire.HelloMessage(healthy=it.healthy)),
     messages.ViewNotice: ("view_told", lambda it: wire.ViewToldMessage(view=view_record(it.view), settled=it.in_force)),
--- a/canvasbeam/control_plane/replication_link.py
+++ b/canvasbeam/control_plane/replication_link.py
@@ -1,8 +1,8 @@
-"""Carry the messages of one replication member over the transport between nodes.
+"""Send and receive the messages of one replication member over the transport between nodes.
 
-Owns the incarnation of this process: it goes out with every message, and an answer to an earlier incarnation is dropped
-and counted. What cannot be decoded, or names a sender other than the peer that sent it, is dropped and logged. Sending
-is best effort; the member repeats what it needs.
+Owns the incarnation of this process: every message carries the incarnation, and an answer to an earlier incarnation is
+dropped and counted. A message that cannot be decoded, or whose sender is not a member at the peer's IP address, is
+dropped and logged. Sending is best effort, because the member repeats messages that need an answer.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 
 
 class ReplicationTransport(Protocol):
-    """What is needed of `canvasbeam.cluster.transport.Transport`: best-effort messages between addresses."""
+    """The methods used of `canvasbeam.cluster.transport.Transport`: best-effort messages between addresses."""
 
     def send(self, address: Address, channel: Channel, payload: bytes) -> None:
-        """Send one message, if that can be done."""
+        """Send one message; the message may be lost."""
         ...
 
     def register(self, channel: Channel, callback: Callable[[PeerInfo, bytes], None]) -> None:
-        """Give the messages of a channel to this function."""
+        """Call `callback` with each message received on a channel, and its sender."""
         ...
 
 
 class ReplicationLink:
-    """Encodes and sends the messages of a member; decodes and checks those of the others."""
+    """Encodes and sends the messages of a member; decodes and checks the messages of the other members."""
 
     def __init__(self, transport: ReplicationTransport, codec: ReplicationCodec, peer_port: int) -> None:
         self._transport = transport
@@ -49,21 +49,21 @@
 
     @property
     def stale_answers(self) -> int:
-        """How many answers to an earlier incarnation of this process were dropped."""
+        """The number of dropped answers to earlier incarnations of this process."""
         return self._incarnation.dropped
 
     def register(self) -> None:
-        """Take the messages of the channel; they are dropped until there is a receiver."""
+        """Subscribe to the replication channel; messages are dropped until `deliver_to` sets a receiver."""
         self._transport.register(Channel.REPLICATION, self._on_message)
 
     def deliver_to(self, receiver: Receiver) -> None:
-        """Give every message that passes the checks to this function from now on."""
+        """Call `receiver` with every message that passes the checks."""
         self._receiver = receiver
 
     def send(
         self, sender: MemberId, ip: str, message: Message, answered_incarnation: int = UNKNOWN_INCARNATION
     ) -> None:
-        """Send a message of the own member to the control process at an address."""
+        """Send a message of this node's member to the control process at an IP address."""
         payload = self._codec.encode(sender, message, self._incarnation.incarnation, answered_incarnation)
         self._transport.send(Address(ip, self._peer_port), Channel.REPLICATION, payload)
 
--- a/canvasbeam/control_plane/replication_listeners.py
+++ b/canvasbeam/control_plane/replication_listeners.py
@@ -1,7 +1,7 @@
-"""Notify the other parts of the control process of what the replication member knows.
+"""Notify other parts of the control process of committed states, views and the primary.
 
-Owns the listeners, and what each kind was notified of last: each is called only when that changes. The lines of the log
-on views and on the primary are written here too, by the same comparison.
+Owns the listeners, and the value that each kind of listener received last: listeners are called only when the value
+changes. The same comparison triggers the log lines on new views and on changes of the leadership.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ReplicationListeners:
-    """The listeners of one member; it also keeps the newest committed state, of which they were notified."""
+    """The listeners of one member, and the newest committed state of which the listeners were notified."""
 
     def __init__(self) -> None:
         self._for_commits: list[CommitListener] = []
@@ -33,15 +33,15 @@
         self._notified_leadership: tuple[bool, MemberId] | None = None
 
     def add_commit_listener(self, listener: CommitListener) -> None:
-        """Call this with every newer committed state."""
+        """Call `listener` with every newer committed state."""
         self._for_commits.append(listener)
 
     def add_primary_listener(self, listener: PrimaryListener) -> None:
-        """Call this with the address of another primary, or None."""
+        """Call `listener` with the IP address of each new primary, or with None when no primary is known any more."""
         self._for_primaries.append(listener)
 
     def add_electorate_listener(self, listener: ElectorateListener) -> None:
-        """Call this with the IP addresses of the electorates of another view."""
+        """Call `listener` with the IP addresses of the electorates of each new view."""
         self._for_electorates.append(listener)
 
     @property
@@ -50,15 +50,17 @@
         return self._state
 
     def on_committed(self, state: ControlState) -> None:
-        """Notify of a newer committed state."""
+        """Notify the commit listeners of a newer committed state."""
         self._state = state
         for listener in self._for_commits:
             listener(state)
 
     def on_view(self, view: View | None, is_in_force: bool) -> None:
-        """Notify of the IP addresses whose grants count for a contact lease, where the view is another one.
+        """Notify the electorate listeners of a new view, or of a view that has come into force.
 
-        There are two electorates while the view is not in force: its witnesses, and those of the view before.
+        An electorate is a set of nodes, a majority of which must grant a contact lease. A view in force has one
+        electorate, its witnesses. A view not yet in force has two electorates: its own witnesses and the witnesses of
+        the previous view.
         """
         self._view_log.note(view)
         if view is None or (view, is_in_force) == self._notified_electorate:
@@ -70,7 +72,7 @@
             listener(ips)
 
     def on_leadership(self, is_primary: bool, primary_id: MemberId) -> None:
-        """Notify of another primary, or of none; write to the log when this member begins or ceases to lead."""
+        """Notify the primary listeners of a changed primary; log a change of the primary or of this member's role."""
         former, self._notified_leadership = self._notified_leadership, (is_primary, primary_id)
         if former is None or former == self._notified_leadership:
             return
--- a/canvasbeam/control_plane/replication_records.py
+++ b/canvasbeam/control_plane/replication_records.py
@@ -1,9 +1,9 @@
-"""Translate the values of replication into the records of `canvasbeam/cluster/replication.proto`, and back.
+"""Convert the values of replication to the protobuf records of `canvasbeam/cluster/replication.proto`, and back.
 
-Both encodings are made of these records: messages between members (`replication_codec`) and what a member stores
-(`stored_records`). Here and in `replication_codec` the names on the wire meet those of the code; nowhere else. The wire
-keeps its own words for good: `settled` is "in force", `piece` a chunk, `life` an incarnation. The functions keep
-the bytes of each value for good: members of other releases read them, and later starts on the same disk.
+Messages between members (`replication_codec`) and a member's stored data (`stored_records`) consist of these records.
+Only this module and `replication_codec` translate between names on the wire and names in the code. Names on the wire
+never change: `settled` is "in force", `piece` is a chunk, `life` is an incarnation. The encoded bytes of a value never
+change either, because members of other releases and later starts on the same disk decode the bytes.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 
 
 class HasAcceptedView(Protocol):
-    """A protobuf message with the optional field `accepted`."""
+    """A protobuf message with the optional field `accepted`, a view."""
 
     @property
     def accepted(self) -> wire.ViewRecord:
-        """Return the view, empty where the field is absent."""
+        """Return the accepted view; an absent field is an empty record."""
         ...
 
-    def HasField(self, field_name: str, /) -> bool:  # noqa: N802  # the name that protobuf gives it
-        """Return whether a field is present."""
+    def HasField(self, field_name: str, /) -> bool:  # noqa: N802  # protobuf defines the name
+        """Return True if a field is present."""
         ...
 
 
 def epoch_record(epoch: Epoch) -> wire.EpochRecord:
-    """Return the record of an epoch; -1, the absence of one, becomes 0."""
+    """Return the record of an epoch; the number is stored plus one, so that `NO_EPOCH` (-1) becomes 0."""
     return wire.EpochRecord(number_plus_one=epoch.number + 1, candidate=epoch.candidate)
 
 
@@ -63,12 +63,12 @@
 
 
 def optional_view_record(view: View | None) -> wire.ViewRecord | None:
-    """Return the record of a view, or None, which leaves a field absent."""
+    """Return the record of a view, or None for no view, which leaves the protobuf field absent."""
     return None if view is None else view_record(view)
 
 
 def optional_view_of(part: HasAcceptedView) -> View | None:
-    """Return the accepted view of a message, or None where the field is absent."""
+    """Return the accepted view of a protobuf message, or None if the field is absent."""
     return view_of(part.accepted) if part.HasField("accepted") else None
 
 
@@ -83,17 +83,17 @@
 
 
 def snapshot_record(snapshot: SnapshotId) -> wire.SnapshotRecord:
-    """Return the record of a snapshot's id."""
+    """Return the record of a snapshot id."""
     return wire.SnapshotRecord(digest=snapshot.digest, size=snapshot.size)
 
 
 def snapshot_of(record: wire.SnapshotRecord) -> SnapshotId:
-    """Return the snapshot's id of a record."""
+    """Return the snapshot id of a record."""
     return SnapshotId(record.digest, record.size)
 
 
 def change_record(change: Change) -> wire.ChangeRecord:
-    """Return the record of a change, its body compressed where that pays."""
+    """Return the record of a change; a large body is compressed."""
     return wire.ChangeRecord(kind=int(change.kind), body=pack(change.body), if_match=change.if_match, zone=change.zone)
 
 
--- a/canvasbeam/control_plane/replication_status.py
+++ b/canvasbeam/control_plane/replication_status.py
@@ -1,4 +1,4 @@
-"""Describe a replication member as an operator sees it on `/v1/status`."""
+"""Describe the status of a replication member, as reported to operators by `/v1/status`."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from canvasbeam.replication.resilience import Resilience, resilience_of
 from canvasbeam.replication.views import NO_MEMBER, MemberId
 
-NO_EPOCH_NUMBER = -1  # before a view is known
+NO_EPOCH_NUMBER = -1  # epoch number reported before any view is known
 DISK_OK = "ok"
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicationStatus:
-    """What an operator wants to know of one member. `status.status_document` names the fields of the JSON document."""
+    """The status of one member. `status.status_document` defines the names of the fields in the JSON document."""
 
     member: MemberId = NO_MEMBER
     role: str = "starting"
@@ -27,14 +27,14 @@
     stored_index: int = 0
     disk: str = DISK_OK
     stale_answers: int = 0
-    resilience: Resilience = Resilience()  # noqa: RUF009  # frozen, so one for all is right
+    resilience: Resilience = Resilience()  # noqa: RUF009  # frozen, so instances can share the default
     leaving: str = DepartureState.STAYING.name.lower()
 
 
 def status_of(
     member: Member, *, committed_index: int, disk: str, stale_answers: int, tolerated_machines: int
 ) -> ReplicationStatus:
-    """Return the status of a member that has begun."""
+    """Return the status of a started member."""
     view = member.state.known_view.view
     electorate = member.leadership or member.state.known_view
     return ReplicationStatus(
--- a/canvasbeam/control_plane/state_service.py
+++ b/canvasbeam/control_plane/state_service.py
@@ -1,4 +1,4 @@
-"""Say what the other parts of a control process may ask of the replicated control state."""
+"""Define the interface of the replicated control state for the other parts of a control process."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 
 class ControlStateService(Protocol):
-    """The replicated control state as the rest of a control process uses it.
+    """The replicated control state, as the other parts of a control process use the state.
 
-    `submit` returns `Committed` only when the change is durable on every replica of the current view; a `Failure` of
-    code `CONFIG_*` or `ZONE_UNKNOWN` means that neither the change nor a copy of it was or will be applied, but for
-    those of `changes.OPEN_FAILURES`; `NOT_PRIMARY` and `NO_PRIMARY` mean that this call has no effect; `PRIMARY_LOST`
-    and `REPLICATION_TIMEOUT` leave the outcome open.
+    `submit` returns `Committed` only when the change is durable on every replica of the current view. A `Failure` of
+    code `CONFIG_*` or `ZONE_UNKNOWN` means that neither the change nor any copy of the change was or will be applied;
+    the codes in `changes.OPEN_FAILURES` are exceptions. `NOT_PRIMARY` and `NO_PRIMARY` mean that this call has no
+    effect. After `PRIMARY_LOST` and `REPLICATION_TIMEOUT` the outcome is unknown.
     """
 
     async def start(self) -> None:
-        """Open the storage and begin to take part."""
+        """Open the storage and begin to take part in replication."""
         ...
 
     async def leave(self, within_s: float) -> None:
-        """Hand the view on, and wait until a view without this member holds enough replicas, or the time is over."""
+        """Leave the view; return once this member may end, or after `within_s` seconds."""
         ...
 
     def remove(self, ip: str) -> Removal | Failure:
-        """Take the control process at an address out for good; called again, return how far that is."""
+        """Remove the control process at an IP address permanently; return the progress, also when called again."""
         ...
 
     async def stop(self) -> None:
-        """Resign where this node is the primary, and stop."""
+        """Resign if this node is the primary, and stop."""
         ...
 
     async def submit(self, change: Change) -> Committed | Failure:
@@ -39,20 +39,20 @@
         ...
 
     async def read(self) -> ControlState | Failure:
-        """Return the newest state, confirmed with a majority of the witnesses after the call began."""
+        """Return the newest state, confirmed by a majority of the witnesses after the call began."""
         ...
 
     @property
     def state(self) -> ControlState:
-        """The newest state that this node knows to be committed; it may be old."""
+        """The newest state that this node knows to be committed; newer states may be committed elsewhere."""
         ...
 
     @property
     def primary_ip(self) -> str | None:
-        """The IP address of the primary, where one is known."""
+        """The IP address of the primary; None if no primary is known."""
         ...
 
     @property
     def is_primary(self) -> bool:
-        """Whether this node is the primary, as far as it knows."""
+        """True if this node is the primary, as far as the node knows."""
         ...
--- a/canvasbeam/control_plane/stored_records.py
+++ b/canvasbeam/control_plane/stored_records.py
@@ -1,7 +1,7 @@
-"""Encode the records that a member keeps on its disk, and decode them.
+"""Encode and decode the records that a member stores on its disk.
 
-`member_records` says under which names they are stored. A record that cannot be decoded is a `Failure` of code
-`DISK_CORRUPT`: it lay behind an intact digest, so it was written wrong or by a release that this one does not know.
+`member_records` defines the names of the records. A record that cannot be decoded is a `Failure` of code
+`DISK_CORRUPT`: the digest over the record was intact, so the record was written wrongly or by an unknown release.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredWitness:
-    """What a witness has on its disk."""
+    """The state that a witness has stored on its disk."""
 
     promised: Epoch
     accepted: View | None
-    in_force: bool  # of the accepted view; `settled` in the record
+    in_force: bool  # True if the accepted view is in force; `settled` in the record
 
 
 def encode_witness(promised: Epoch, accepted: View | None, in_force: bool) -> bytes:
-    """Return the record of what a witness promised and accepted."""
+    """Return the encoded record of the epoch that a witness promised and the view that the witness accepted."""
     record = wire.WitnessRecord(
         promised=epoch_record(promised), accepted=optional_view_record(accepted), settled=in_force
     )
@@ -42,7 +42,7 @@
 
 
 def decode_witness(data: bytes) -> StoredWitness | Failure:
-    """Return what a witness stored, or a failure of code `DISK_CORRUPT`."""
+    """Return the stored state of a witness, or a failure of code `DISK_CORRUPT`."""
     try:
         record = wire.WitnessRecord.FromString(data)
     except DecodeError as error:
@@ -51,12 +51,12 @@
 
 
 def encode_epoch(epoch: Epoch) -> bytes:
-    """Return the record of an epoch alone."""
+    """Return the encoded record of an epoch."""
     return epoch_record(epoch).SerializeToString()
 
 
 def decode_epoch(data: bytes) -> Epoch | Failure:
-    """Return the epoch of a record, or a failure of code `DISK_CORRUPT`."""
+    """Return the epoch of an encoded record, or a failure of code `DISK_CORRUPT`."""
     try:
         return epoch_of(wire.EpochRecord.FromString(data))
     except DecodeError as error:
@@ -64,12 +64,12 @@
 
 
 def encode_change(change: Change) -> bytes:
-    """Return the record of a change alone."""
+    """Return the encoded record of a change."""
     return change_record(change).SerializeToString()
 
 
 def decode_change(data: bytes) -> Change | Failure:
-    """Return the change of a record, or a failure of code `DISK_CORRUPT`."""
+    """Return the change of an encoded record, or a failure of code `DISK_CORRUPT`."""
     try:
         return change_of(wire.ChangeRecord.FromString(data))
     except (DecodeError, ValueError) as error:
--- a/canvasbeam/control_plane/view_log.py
+++ b/canvasbeam/control_plane/view_log.py
@@ -1,4 +1,4 @@
-"""Write a line of the log on each new view that a member learns of."""
+"""Log each new view that a member learns of."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class ViewLog:
-    """Owns the view of the last call, with which the next one is compared."""
+    """Logs new views; owns the view of the last call, for comparison with the next view."""
 
     def __init__(self) -> None:
         self._view: View | None = None
 
     def note(self, view: View | None) -> None:
-        """Write the line of a view that is new; costs one comparison where it is not."""
+        """Log a view if the view is new; a call with the same view object costs one comparison."""
         if view is self._view:
             return
         if view is not None and view != self._view:
