--- a/canvasbeam/control_plane/disk_worker.py
+++ b/canvasbeam/control_plane/disk_worker.py
@@ -60,7 +60,7 @@
         self._on_health = on_health
         self._calls: SimpleQueue[_Call | None] = SimpleQueue()
         # A daemon thread, because a stalled disk must not delay the exit of the process.
-        Thread(target=self._work, name="disk", daemon=True).start()
+        Thread(target=self._run_calls, name="disk", daemon=True).start()
         self._fault: Failure | None = None
 
     @property
@@ -75,7 +75,7 @@
         self._calls.put(_Call(call, loop, future))
         return await future
 
-    def _work(self) -> None:
+    def _run_calls(self) -> None:
         """Run the queued calls in order until `close`. The disk thread runs this method."""
         while (call := self._calls.get()) is not None:
             call.run()
@@ -83,17 +83,17 @@
     async def write(self, store: Store, updates: Updates) -> None:
         """Write the updates, retrying until a write succeeds; return once the updates are durable."""
         while True:
-            failure = await self._timed(store, updates)
+            failure = await self._update_store(store, updates)
             self._set_health(failure)
             if failure is None:
                 return
             await asyncio.sleep(RETRY_SECONDS)
 
-    async def _timed(self, store: Store, updates: Updates) -> Failure | None:
+    async def _update_store(self, store: Store, updates: Updates) -> Failure | None:
         size = sum(len(value) for value in updates.values() if value is not None)
-        allowed = SLOW_SECONDS + size / SLOW_BYTES_PER_SECOND
-        slow = Failure(ResultCode.DISK_SLOW, f"a write of {size} bytes takes longer than {allowed:.1f} s")
-        slow_timer = asyncio.get_running_loop().call_later(allowed, self._set_health, slow)
+        limit_s = SLOW_SECONDS + size / SLOW_BYTES_PER_SECOND
+        slow_failure = Failure(ResultCode.DISK_SLOW, f"a write of {size} bytes takes longer than {limit_s:.1f} s")
+        slow_timer = asyncio.get_running_loop().call_later(limit_s, self._set_health, slow_failure)
         try:
             return await self.run(lambda: store.update(updates))
         finally:
--- a/canvasbeam/control_plane/member_disk.py
+++ b/canvasbeam/control_plane/member_disk.py
@@ -31,13 +31,13 @@
         self,
         disk: Disk | None,
         data_dir: Path | None,
-        states: ControlStateCodec,
+        state_codec: ControlStateCodec,
         apply: ApplyChange,
         on_health: HealthListener,
     ) -> None:
         self._disk = disk
         self._data_dir = data_dir  # folder of the store if `disk` is None
-        self._states = states
+        self._state_codec = state_codec
         self._apply = apply  # replays the stored changes on the last snapshot
         self._worker = DiskWorker(on_health)
         self._store: Store | None = None
@@ -82,8 +82,8 @@
         if isinstance(store, Failure):
             return store
         self._store = store
-        self._records = RecordWriter(self._states, store.values)
-        loaded = await self._worker.run(lambda: load_member(store.values, self._states, self._apply))
+        self._records = RecordWriter(self._state_codec, store.values)
+        loaded = await self._worker.run(lambda: load_member(store.values, self._state_codec, self._apply))
         if loaded is None:
             loaded = new_member()
             # The member's id must be durable before the first message carries the id.
--- a/canvasbeam/control_plane/member_driver.py
+++ b/canvasbeam/control_plane/member_driver.py
@@ -61,7 +61,7 @@
 
     def begin(self) -> None:
         """Begin to receive messages, and carry out the member's first actions."""
-        self._link.deliver_to(self._receive)
+        self._link.set_receiver(self._receive)
         self._perform(self._member.begin())
 
     def submit(self, call: int, change: Change) -> None:
@@ -130,7 +130,7 @@
 
     def _receive(self, received: ReceivedMessage) -> None:
         actions = self._member.receive(received.sender, received.message, time.monotonic_ns())
-        self._perform([_addressed_to_caller(action, received) for action in actions])
+        self._perform([_with_requester_incarnation(action, received) for action in actions])
 
     def _send(self, action: OutgoingMessage) -> None:
         me = self._member.me
@@ -142,11 +142,11 @@
             self._link.send(me, member_ip(action.to), action.message, action.answered_incarnation)
 
 
-def _addressed_to_caller(action: Action, call: ReceivedMessage) -> Action:
+def _with_requester_incarnation(action: Action, request: ReceivedMessage) -> Action:
     """Return an answer to a request with the incarnation of the requesting process, or any other action unchanged.
 
     The answer keeps this incarnation, however long the answer waits for the disk.
     """
-    if isinstance(action, Send) and action.to == call.sender and isinstance(action.message, ANSWERS):
-        return replace(action, answered_incarnation=call.incarnation)
+    if isinstance(action, Send) and action.to == request.sender and isinstance(action.message, ANSWERS):
+        return replace(action, answered_incarnation=request.incarnation)
     return action
--- a/canvasbeam/control_plane/member_records.py
+++ b/canvasbeam/control_plane/member_records.py
@@ -38,7 +38,7 @@
 STATE = "state"
 CHANGE_PREFIX = "change/"
 MAX_CHANGES = 64  # maximum number of changes stored since the last snapshot
-MAX_CHANGE_BYTES = 1 << 20  # maximum total size of the changes stored since the last snapshot
+MAX_CHANGES_BYTES = 1 << 20  # maximum total size of the changes stored since the last snapshot
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,23 +78,23 @@
                 case SaveInstalled():
                     updates[INSTALLED] = encode_epoch(save.epoch)
                     if save.state is not None:
-                        self._snapshot(updates, save.state)
+                        self._add_snapshot(updates, save.state)
                 case SaveChange():
-                    self._change(updates, save)
+                    self._add_change(updates, save)
                 case SaveCommitted():
                     updates[COMMITTED] = str(save.index).encode()
         return updates
 
-    def _change(self, updates: dict[str, bytes | None], save: SaveChange) -> None:
+    def _add_change(self, updates: dict[str, bytes | None], save: SaveChange) -> None:
         value = encode_change(save.change)
-        if len(self._change_bytes) >= MAX_CHANGES or sum(self._change_bytes.values()) + len(value) > MAX_CHANGE_BYTES:
-            self._snapshot(updates, save.state)
+        if len(self._change_bytes) >= MAX_CHANGES or sum(self._change_bytes.values()) + len(value) > MAX_CHANGES_BYTES:
+            self._add_snapshot(updates, save.state)
             return
         name = f"{CHANGE_PREFIX}{save.state.index:016d}"
         self._change_bytes[name] = len(value)
         updates[name] = value
 
-    def _snapshot(self, updates: dict[str, bytes | None], state: ControlState) -> None:
+    def _add_snapshot(self, updates: dict[str, bytes | None], state: ControlState) -> None:
         updates[STATE] = self._codec.encode_state(state)
         updates.update(dict.fromkeys(self._change_bytes))
         self._change_bytes.clear()
--- a/canvasbeam/control_plane/owned_tasks.py
+++ b/canvasbeam/control_plane/owned_tasks.py
@@ -16,9 +16,9 @@
     def __init__(self) -> None:
         self._tasks: list[asyncio.Task[None]] = []
 
-    def start(self, work: Coroutine[None, None, None], name: str) -> None:
+    def start(self, coroutine: Coroutine[None, None, None], name: str) -> None:
         """Start a coroutine as a task; the log names the task by `name` if the task fails."""
-        task = asyncio.create_task(work, name=name)
+        task = asyncio.create_task(coroutine, name=name)
         task.add_done_callback(_log_exception)
         self._tasks.append(task)
 
--- a/canvasbeam/control_plane/program.py
+++ b/canvasbeam/control_plane/program.py
@@ -62,8 +62,8 @@
         self._registry = RegistryService(settings, self._node)
         self._node.set_electorates(NO_ELECTORATE)
         self._service.add_electorate_listener(self._node.set_electorates)
-        homes = HomeRegions(self._node.table)
-        self._directory = Directory(settings, self._node.members, homes, self._node.has_recent_exchange)
+        home_regions = HomeRegions(self._node.table)
+        self._directory = Directory(settings, self._node.members, home_regions, self._node.has_recent_exchange)
         self._operator = OperatorApi(
             settings, self._service, self._is_reachable, lambda: status_document(settings, self._node, self._service)
         )
@@ -93,13 +93,13 @@
                 too_large=ResultCode.REGISTRATION_TOO_LARGE,
             ),
             Endpoint(CONFIGURATION_PATH, operator.configuration, operator.max_body_bytes, needs_caller=True),
-            Endpoint(EVACUATION_PREFIX, operator.evacuation, _no_body, needs_caller=True),
-            Endpoint(REMOVAL_PREFIX, operator.removal, _no_body, needs_caller=True),
-            Endpoint(STATUS_PATH, operator.status, _no_body),
+            Endpoint(EVACUATION_PREFIX, operator.evacuation, _ignored_body_limit, needs_caller=True),
+            Endpoint(REMOVAL_PREFIX, operator.removal, _ignored_body_limit, needs_caller=True),
+            Endpoint(STATUS_PATH, operator.status, _ignored_body_limit),
         ]
 
     def _directory_endpoints(self) -> list[Endpoint]:
-        return [Endpoint(RESOLVE_PATH, self._directory.resolve, _no_body)]
+        return [Endpoint(RESOLVE_PATH, self._directory.resolve, _ignored_body_limit)]
 
     def _is_reachable(self, ip: str) -> bool:
         """Return True if callers may be redirected to the control process at an IP address.
@@ -152,7 +152,7 @@
         await self._node.stop()
 
 
-def _no_body() -> int:
+def _ignored_body_limit() -> int:
     return MAX_IGNORED_BODY_BYTES
 
 
--- a/canvasbeam/control_plane/replicated_state.py
+++ b/canvasbeam/control_plane/replicated_state.py
@@ -73,10 +73,10 @@
         self._settings = settings
         self._timing = timing or ReplicationTiming()
         self._apply_checked = apply_checked or apply
-        self._check = ChangeCheck(apply, self._apply_checked)
-        self._states = ControlStateCodec(encode_state, decode_state)
-        self._link = ReplicationLink(transport, ReplicationCodec(self._states), settings.control_peer_port)
-        self._disk = MemberDisk(disk, settings.data_dir, self._states, self._apply_checked, self._on_disk_health)
+        self._change_check = ChangeCheck(apply, self._apply_checked)
+        self._state_codec = ControlStateCodec(encode_state, decode_state)
+        self._link = ReplicationLink(transport, ReplicationCodec(self._state_codec), settings.control_peer_port)
+        self._disk = MemberDisk(disk, settings.data_dir, self._state_codec, self._apply_checked, self._on_disk_health)
         self._calls = PendingCalls()
         self._listeners = ReplicationListeners()
         self._tasks = OwnedTasks()
@@ -86,7 +86,7 @@
     async def start(self) -> None:
         """Start a background task that loads the member, however slow the disk is, and takes part in replication."""
         self._link.register()
-        self._tasks.start(self._run(), "replication start")
+        self._tasks.start(self._start_member(), "replication start")
 
     async def leave(self, within_s: float) -> None:
         """Leave the view; return once this member may end, or after `within_s` seconds."""
@@ -97,7 +97,7 @@
         """Remove the control process at an IP address permanently; return the progress, also when called again."""
         driver = self._driver
         if driver is None:
-            return self._not_ready()
+            return self._not_ready_failure()
         outcome = driver.remove(ip)
         if not isinstance(outcome, Failure):
             log.info("removal requested ip={} state={}", ip, outcome.value)
@@ -116,21 +116,21 @@
         """Apply a change on every replica of the view; `ControlStateService` describes the failures."""
         driver = self._driver
         if driver is None:
-            return self._not_ready()
+            return self._not_ready_failure()
         if driver.is_primary:
-            await self._check.begin(driver.member.state.replica.state, change)
+            await self._change_check.begin(driver.member.state.replica.state, change)
         try:
             with self._calls.open() as call:
                 driver.submit(call.number, change)
                 return await call.result
         finally:
-            self._check.end(change)
+            self._change_check.end(change)
 
     async def read(self) -> ControlState | Failure:
         """Return the newest state, confirmed by a majority of the witnesses after the call began."""
         driver = self._driver
         if driver is None:
-            return self._not_ready()
+            return self._not_ready_failure()
         with self._calls.open() as call:
             driver.read(call.number)
             result = await call.result
@@ -190,7 +190,7 @@
             tolerated_machines=int(self._settings.tolerate.machines),
         )
 
-    async def _run(self) -> None:
+    async def _start_member(self) -> None:
         loaded = await self._disk.load(self._new_member)
         if loaded is None:
             return
@@ -212,10 +212,10 @@
         return Member(
             settings,
             loaded.durable,
-            self._check.apply,
+            self._change_check.apply,
             self._apply_checked,
             time.monotonic_ns(),
-            codec=self._states,
+            codec=self._state_codec,
         )
 
     def _new_member(self) -> LoadedMember:
@@ -237,5 +237,5 @@
         if self._driver is not None:
             self._driver.set_healthy(fault is None)
 
-    def _not_ready(self) -> Failure:
+    def _not_ready_failure(self) -> Failure:
         return self._disk.start_failure or Failure(ResultCode.NO_PRIMARY, "this node is still starting")
--- a/canvasbeam/control_plane/replication_codec.py
+++ b/canvasbeam/control_plane/replication_codec.py
@@ -40,7 +40,7 @@
 from canvasbeam.replication.views import MemberId
 from canvasbeam.runtime.process_incarnation import UNKNOWN_INCARNATION
 
-WithState = TypeVar("WithState", wire.FetchedMessage, wire.InstallMessage)
+MessageWithState = TypeVar("MessageWithState", wire.FetchedMessage, wire.InstallMessage)
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,8 +60,8 @@
 class ReplicationCodec:
     """Encodes and decodes messages, with the given codec for the states that some messages contain."""
 
-    def __init__(self, states: ControlStateCodec) -> None:
-        self._states = states
+    def __init__(self, state_codec: ControlStateCodec) -> None:
+        self._state_codec = state_codec
 
     def encode(
         self,
@@ -72,7 +72,7 @@
     ) -> bytes:
         """Return the bytes of an envelope with a message, its sender and the incarnations."""
         envelope = wire.ReplicationEnvelope(sender=sender, life=incarnation, answered_life=answered_incarnation)
-        name, part = self._part_of(message)
+        name, part = self._encode_message(message)
         getattr(envelope, name).CopyFrom(part)
         return envelope.SerializeToString()
 
@@ -80,28 +80,28 @@
         """Return the message that `encode` encoded, or a failure of code `MESSAGE_INVALID`."""
         try:
             envelope = wire.ReplicationEnvelope.FromString(data)
-            sender, message = MemberId(envelope.sender), self._message_of(envelope)
+            sender, message = MemberId(envelope.sender), self._decode_message(envelope)
             return ReceivedMessage(sender, message, envelope.life, envelope.answered_life)
         except (DecodeError, ValueError, _UndecodableError) as error:
             return Failure(ResultCode.MESSAGE_INVALID, f"the replication message cannot be decoded: {error}")
 
-    def _part_of(self, message: Message) -> tuple[str, WireMessage]:
+    def _encode_message(self, message: Message) -> tuple[str, WireMessage]:
         """Return the name of the envelope's field for a message, and the protobuf message for this field."""
         match message:
             case messages.Fetched():
-                return "fetched", self._with_state(
+                return "fetched", self._set_state(
                     wire.FetchedMessage(epoch=epoch_record(message.epoch), position=position_record(message.position)),
                     message.state,
                 )
             case messages.Install():
-                return "install", self._with_state(
+                return "install", self._set_state(
                     wire.InstallMessage(epoch=epoch_record(message.epoch), position=position_record(message.position)),
                     message.state,
                 )
         name, encode = _ENCODERS[type(message)]
         return name, encode(message)
 
-    def _message_of(self, envelope: wire.ReplicationEnvelope) -> Message:
+    def _decode_message(self, envelope: wire.ReplicationEnvelope) -> Message:
         name = envelope.WhichOneof("message")
         match name:
             case None:
@@ -112,16 +112,16 @@
                 return self._decode_install(envelope.install)
         return _DECODERS[name](getattr(envelope, name))
 
-    def _with_state(self, part: WithState, state: ControlState | SnapshotId | None) -> WithState:
+    def _set_state(self, part: MessageWithState, state: ControlState | SnapshotId | None) -> MessageWithState:
         """Set the state of a protobuf message: the encoded state, or the id of a snapshot; None sets no field."""
         if isinstance(state, SnapshotId):
             part.snapshot.CopyFrom(snapshot_record(state))
         elif state is not None:
-            part.state = self._states.encode_state(state)
+            part.state = self._state_codec.encode_state(state)
         return part
 
     def _decode_fetched(self, part: wire.FetchedMessage) -> Message:
-        state = snapshot_of(part.snapshot) if part.HasField("snapshot") else self._state_of(part.state)
+        state = snapshot_of(part.snapshot) if part.HasField("snapshot") else self._decode_state(part.state)
         return messages.Fetched(epoch_of(part.epoch), position_of(part.position), state)
 
     def _decode_install(self, part: wire.InstallMessage) -> Message:
@@ -129,11 +129,11 @@
         if part.HasField("snapshot"):
             state = snapshot_of(part.snapshot)
         elif part.HasField("state"):
-            state = self._state_of(part.state)
+            state = self._decode_state(part.state)
         return messages.Install(epoch_of(part.epoch), position_of(part.position), state)
 
-    def _state_of(self, data: bytes) -> ControlState:
-        state = self._states.decode_state(data)
+    def _decode_state(self, data: bytes) -> ControlState:
+        state = self._state_codec.decode_state(data)
         if isinstance(state, Failure):
             raise _UndecodableError(str(state))
         return state
--- a/canvasbeam/control_plane/replication_link.py
+++ b/canvasbeam/control_plane/replication_link.py
@@ -53,10 +53,10 @@
         return self._incarnation.dropped
 
     def register(self) -> None:
-        """Subscribe to the replication channel; messages are dropped until `deliver_to` sets a receiver."""
+        """Subscribe to the replication channel; messages are dropped until `set_receiver` sets a receiver."""
         self._transport.register(Channel.REPLICATION, self._on_message)
 
-    def deliver_to(self, receiver: Receiver) -> None:
+    def set_receiver(self, receiver: Receiver) -> None:
         """Call `receiver` with every message that passes the checks."""
         self._receiver = receiver
 
--- a/canvasbeam/control_plane/replication_listeners.py
+++ b/canvasbeam/control_plane/replication_listeners.py
@@ -24,9 +24,9 @@
     """The listeners of one member, and the newest committed state of which the listeners were notified."""
 
     def __init__(self) -> None:
-        self._for_commits: list[CommitListener] = []
-        self._for_primaries: list[PrimaryListener] = []
-        self._for_electorates: list[ElectorateListener] = []
+        self._commit_listeners: list[CommitListener] = []
+        self._primary_listeners: list[PrimaryListener] = []
+        self._electorate_listeners: list[ElectorateListener] = []
         self._state = ControlState()
         self._view_log = ViewLog()
         self._notified_electorate: tuple[View | None, bool] = (None, False)
@@ -34,15 +34,15 @@
 
     def add_commit_listener(self, listener: CommitListener) -> None:
         """Call `listener` with every newer committed state."""
-        self._for_commits.append(listener)
+        self._commit_listeners.append(listener)
 
     def add_primary_listener(self, listener: PrimaryListener) -> None:
         """Call `listener` with the IP address of each new primary, or with None when no primary is known any more."""
-        self._for_primaries.append(listener)
+        self._primary_listeners.append(listener)
 
     def add_electorate_listener(self, listener: ElectorateListener) -> None:
         """Call `listener` with the IP addresses of the electorates of each new view."""
-        self._for_electorates.append(listener)
+        self._electorate_listeners.append(listener)
 
     @property
     def state(self) -> ControlState:
@@ -52,7 +52,7 @@
     def on_committed(self, state: ControlState) -> None:
         """Notify the commit listeners of a newer committed state."""
         self._state = state
-        for listener in self._for_commits:
+        for listener in self._commit_listeners:
             listener(state)
 
     def on_view(self, view: View | None, is_in_force: bool) -> None:
@@ -68,16 +68,16 @@
         self._notified_electorate = (view, is_in_force)
         electorates = [view.witnesses] if is_in_force else [view.witnesses, view.previous_witnesses]
         ips = [[member_ip(member) for member in electorate] for electorate in electorates]
-        for listener in self._for_electorates:
+        for listener in self._electorate_listeners:
             listener(ips)
 
     def on_leadership(self, is_primary: bool, primary_id: MemberId) -> None:
         """Notify the primary listeners of a changed primary; log a change of the primary or of this member's role."""
-        former, self._notified_leadership = self._notified_leadership, (is_primary, primary_id)
-        if former is None or former == self._notified_leadership:
+        previous, self._notified_leadership = self._notified_leadership, (is_primary, primary_id)
+        if previous is None or previous == self._notified_leadership:
             return
         role = "primary" if is_primary else "follower"
         log.info("leadership changed role={} primary={}", role, primary_id or "unknown")
-        if former[1] != primary_id:
-            for listener in self._for_primaries:
+        if previous[1] != primary_id:
+            for listener in self._primary_listeners:
                 listener(member_ip(primary_id) if primary_id else None)
--- a/canvasbeam/control_plane/replication_status.py
+++ b/canvasbeam/control_plane/replication_status.py
@@ -36,7 +36,7 @@
 ) -> ReplicationStatus:
     """Return the status of a started member."""
     view = member.state.known_view.view
-    electorate = member.leadership or member.state.known_view
+    view_state = member.leadership or member.state.known_view
     return ReplicationStatus(
         member=member.me,
         role=member.role.name.lower(),
@@ -50,6 +50,6 @@
         stale_answers=member.stale_answers + stale_answers,
         resilience=Resilience()
         if view is None
-        else resilience_of(view, electorate.is_reconfiguration_complete, tolerated_machines),
+        else resilience_of(view, view_state.is_reconfiguration_complete, tolerated_machines),
         leaving=member.state.departure.state.name.lower(),
     )
