--- a/canvasbeam/control_plane/disk_worker.py
+++ b/canvasbeam/control_plane/disk_worker.py
@@ -18,7 +18,7 @@
 from canvasbeam.storage.frames import Updates
 from canvasbeam.storage.store import Store
 
-SLOW_SECONDS = 0.6  # fixed part of the time limit of a write
+SLOW_SECONDS = 0.6  # fixed part of the time limit of a write, after which the disk counts as unhealthy
 SLOW_BYTES_PER_SECOND = 4_000_000  # the time limit also grows by the size of the write divided by this rate
 RETRY_SECONDS = 0.25  # delay before a failed write, or a failed open of the store, is retried
 
@@ -39,9 +39,9 @@
         result, error = None, None
         try:
             result = self.call()
-        except Exception as raised:  # re-raised where the future is awaited
+        except Exception as raised:  # the exception is raised again where the future is awaited
             error = raised
-        with suppress(RuntimeError):  # the event loop is closed already
+        with suppress(RuntimeError):  # raised if the event loop is closed already
             self.loop.call_soon_threadsafe(self._finish, result, error)
 
     def _finish(self, result: object, error: Exception | None) -> None:
--- a/canvasbeam/control_plane/member_driver.py
+++ b/canvasbeam/control_plane/member_driver.py
@@ -27,7 +27,7 @@
 from canvasbeam.replication.roles import Role
 from canvasbeam.replication.views import member_ip
 
-TICK_SECONDS = 0.05  # interval of the member's ticks
+TICK_SECONDS = 0.05  # interval between the ticks of the replication member
 
 
 class MemberDriver:
--- a/canvasbeam/control_plane/member_records.py
+++ b/canvasbeam/control_plane/member_records.py
@@ -38,7 +38,7 @@
 STATE = "state"
 CHANGE_PREFIX = "change/"
 MAX_CHANGES = 64  # maximum number of changes stored since the last snapshot
-MAX_CHANGES_BYTES = 1 << 20  # maximum total size of the changes stored since the last snapshot
+MAX_CHANGES_BYTES = 1 << 20  # maximum total size of all changes stored since the last snapshot
 
 
 @dataclass(frozen=True, slots=True)
--- a/canvasbeam/control_plane/owned_tasks.py
+++ b/canvasbeam/control_plane/owned_tasks.py
@@ -1,4 +1,4 @@
-"""Own the background tasks of one part of the control process: keep each task until its end, and log each failure."""
+"""Own the background tasks of one part of the control process: keep a reference to each task, and log each failure."""
 
 from __future__ import annotations
 
--- a/canvasbeam/control_plane/program.py
+++ b/canvasbeam/control_plane/program.py
@@ -38,10 +38,10 @@
 from canvasbeam.storage.disk import FolderDisk
 
 MAX_IGNORED_BODY_BYTES = 4096  # body limit of requests whose body is ignored
-RESERVED_DESCRIPTORS = 400  # file descriptors for files and connections other than those of HTTP clients
+RESERVED_DESCRIPTORS = 400  # file descriptors reserved for files and connections other than those of HTTP clients
 DRAIN_S = 1.0
 RESIGN_S = 2.0
-LEAVE_MARGIN_S = 3.0  # part of `grace_s` after the leave: `RESIGN_S`, and one second before SIGKILL
+LEAVE_MARGIN_S = 3.0  # part of `grace_s` reserved after the leave: `RESIGN_S`, and one second before SIGKILL
 MIN_LEAVE_S = 0.3
 # Electorates of a control node that knows no view yet. The only electorate is empty, so that nobody can grant a contact
 # lease, because the node may not be a member of the current view.
--- a/canvasbeam/control_plane/replication_link.py
+++ b/canvasbeam/control_plane/replication_link.py
@@ -43,7 +43,7 @@
     def __init__(self, transport: ReplicationTransport, codec: ReplicationCodec, peer_port: int) -> None:
         self._transport = transport
         self._codec = codec
-        self._peer_port = peer_port  # the same at all control processes
+        self._peer_port = peer_port  # port for messages of peers, the same at all control processes
         self._incarnation = IncarnationCheck(draw_incarnation(random.SystemRandom()))
         self._receiver: Receiver | None = None
 
