--- a/canvasbeam/control_plane/replication_listeners.py
+++ b/canvasbeam/control_plane/replication_listeners.py
@@ -1,7 +1,7 @@
-"""Notify the other parts of the control process of what the replication member knows.
+"""Notify other parts of the control process of committed states, views and the primary.
 
-Owns the listeners, and what each kind was notified of last: each is called only when that changes. The lines of the log
-on views and on the primary are written here too, by the same comparison.
+Owns the listeners, and the value that each kind of listener received last: listeners are called only when the value
+changes. The same comparison triggers the log lines on new views and on changes of the leadership.
 """
 
 from __future__ import annotations
@@ -21,28 +21,28 @@
 
 
 class ReplicationListeners:
-    """The listeners of one member; it also keeps the newest committed state, of which they were notified."""
+    """The listeners of one member, and the newest committed state of which the listeners were notified."""
 
     def __init__(self) -> None:
-        self._for_commits: list[CommitListener] = []
-        self._for_primaries: list[PrimaryListener] = []
-        self._for_electorates: list[ElectorateListener] = []
+        self._commit_listeners: list[CommitListener] = []
+        self._primary_listeners: list[PrimaryListener] = []
+        self._electorate_listeners: list[ElectorateListener] = []
         self._state = ControlState()
         self._view_log = ViewLog()
         self._notified_electorate: tuple[View | None, bool] = (None, False)
         self._notified_leadership: tuple[bool, MemberId] | None = None
 
     def add_commit_listener(self, listener: CommitListener) -> None:
-        """Call this with every newer committed state."""
-        self._for_commits.append(listener)
+        """Call `listener` with every newer committed state."""
+        self._commit_listeners.append(listener)
 
     def add_primary_listener(self, listener: PrimaryListener) -> None:
-        """Call this with the address of another primary, or None."""
-        self._for_primaries.append(listener)
+        """Call `listener` with the IP address of each new primary, or with None when no primary is known any more."""
+        self._primary_listeners.append(listener)
 
     def add_electorate_listener(self, listener: ElectorateListener) -> None:
-        """Call this with the IP addresses of the electorates of another view."""
-        self._for_electorates.append(listener)
+        """Call `listener` with the IP addresses of the electorates of each new view."""
+        self._electorate_listeners.append(listener)
 
     @property
     def state(self) -> ControlState:
@@ -50,15 +50,17 @@
         return self._state
 
     def on_committed(self, state: ControlState) -> None:
-        """Notify of a newer committed state."""
+        """Notify the commit listeners of a newer committed state."""
         self._state = state
-        for listener in self._for_commits:
+        for listener in self._commit_listeners:
             listener(state)
 
     def on_view(self, view: View | None, is_in_force: bool) -> None:
-        """Notify of the IP addresses whose grants count for a contact lease, where the view is another one.
+        """Notify the electorate listeners of a new view, or of a view that has come into force.
 
-        There are two electorates while the view is not in force: its witnesses, and those of the view before.
+        An electorate is a set of nodes, a majority of which must grant a contact lease. A view in force has one
+        electorate, its witnesses. A view not yet in force has two electorates: its own witnesses and the witnesses of
+        the previous view.
         """
         self._view_log.note(view)
         if view is None or (view, is_in_force) == self._notified_electorate:
@@ -66,16 +68,16 @@
         self._notified_electorate = (view, is_in_force)
         electorates = [view.witnesses] if is_in_force else [view.witnesses, view.previous_witnesses]
         ips = [[member_ip(member) for member in electorate] for electorate in electorates]
-        for listener in self._for_electorates:
+        for listener in self._electorate_listeners:
             listener(ips)
 
     def on_leadership(self, is_primary: bool, primary_id: MemberId) -> None:
-        """Notify of another primary, or of none; write to the log when this member begins or ceases to lead."""
-        former, self._notified_leadership = self._notified_leadership, (is_primary, primary_id)
-        if former is None or former == self._notified_leadership:
+        """Notify the primary listeners of a changed primary; log a change of the primary or of this member's role."""
+        previous, self._notified_leadership = self._notified_leadership, (is_primary, primary_id)
+        if previous is None or previous == self._notified_leadership:
             return
         role = "primary" if is_primary else "follower"
         log.info("leadership changed role={} primary={}", role, primary_id or "unknown")
-        if former[1] != primary_id:
-            for listener in self._for_primaries:
+        if previous[1] != primary_id:
+            for listener in self._primary_listeners:
                 listener(member_ip(primary_id) if primary_id else None)
