--- a/tests/replication/test_bounded_memory.py
+++ b/tests/replication/test_bounded_memory.py
@@ -1,4 +1,4 @@
-"""What a control process keeps of others is forgotten when it can be of no use any more."""
+"""Tests that a control process deletes its state about members, workers and peers that are gone."""
 
 from __future__ import annotations
 
@@ -20,6 +20,7 @@
 
 
 def test_members_whose_disks_were_lost_are_forgotten() -> None:
+    """A member that lost its disk returns under a new ID; without a limit, the old IDs would accumulate forever."""
     known = MemberLiveness(ReplicationTiming())
     for life in range(100):
         known.record_message(MemberId(f"10.0.0.2/{life}"), life * liveness.FORGET_AFTER_NS // 10)
@@ -29,6 +30,7 @@
 
 
 def test_workers_that_left_are_forgotten_after_a_while_and_those_that_may_return_are_not() -> None:
+    """The registry must not keep deregistered workers forever, but must keep a missing worker, which may return."""
     registry = WorkerRegistry(heartbeat_timeout_ns=1, timeouts_since_ns=0)
     for number in range(100):
         registry.heartbeat(f"i-{number}", 1, Worker("llm", f"10.0.1.{number}:80", "z1"), 0)
@@ -46,6 +48,7 @@
 
 
 def test_repeats_do_not_pile_up_behind_a_disk_that_stalls() -> None:
+    """While a disk stalls, repeated confirmations would fill the outbox if equal messages were queued again."""
     outbox = Outbox()
     outbox.take([SaveCommitted(1)])
     for _ in range(100):
@@ -56,6 +59,8 @@
 
 
 def test_a_transport_forgets_peers_to_which_nothing_is_sent() -> None:
+    """A transport deletes its state for idle peers, and keeps a peer with a queued message."""
+
     async def work() -> None:
         transport = Transport("one", Address("127.0.6.1", 1))
         transport._peer(Address("127.0.6.2", 1))
--- a/tests/replication/test_change_histories.py
+++ b/tests/replication/test_change_histories.py
@@ -1,7 +1,7 @@
-"""Histories of operators' calls against their sequential specification (`change_history`).
+"""Check histories of operators' API calls against the sequential specification in `tests.support.change_history`.
 
-Random days by seed, as many as `ORDER_HISTORIES` says; one story for each sentence of the specification; and planted
-faults, each of which a story or the days must find.
+The tests run random histories (`ORDER_HISTORIES` sets the number of seeds) and one scenario for each rule of the
+specification. They also plant faults, each of which a scenario or the random histories must detect.
 """
 
 from __future__ import annotations
@@ -39,15 +39,18 @@
 
 @pytest.mark.parametrize("seed", range(DAYS))
 def test_random_day(seed: int) -> None:
+    """Three operators change configurations and evacuate zones under random faults, and the history is consistent."""
     run_operators(seed)
 
 
 @pytest.mark.parametrize("seed", range(DAYS // 3))
 def test_random_day_of_two_operators(seed: int) -> None:
+    """The same random histories with two operators follow the specification."""
     run_operators(10_000 + seed, operators=2)
 
 
 def test_a_day_has_something_of_everything() -> None:
+    """Random histories check little if they lack successes, refusals, reads, evacuations or concurrent calls."""
     calls = [call for seed in range(10) for call in run_operators(seed).history.calls]
     orders = [call for call in calls if call.is_configuration_order]
     assert {call.status for call in orders} >= {200, 400, 412, 503, None}
@@ -58,11 +61,11 @@
     assert max(sum(other.sent_at <= call.sent_at < other.ended_at for other in calls) for call in calls) >= 8
 
 
-# --- stories ------------------------------------------------------------------------------------------------------
+# --- scenarios ------------------------------------------------------------------------------------------------------
 
 
 def play(scenario: Scenario, faults: Faults | None = None, answers_may_differ: bool = False) -> None:
-    """One story from the first start to the check of its history."""
+    """Run a scenario on a new cluster and check the history of its calls."""
 
     async def body() -> None:
         simulation = ChangeSimulation(faults=faults)
@@ -78,7 +81,7 @@
 async def until_clear(
     simulation: ChangeSimulation, caller: str, change: Change | None = None, ip: str | None = None
 ) -> Call:
-    """Send a call until it has a clear answer."""
+    """Repeat a call at `ip`, or at all nodes in turn, until its status is below 500; fail after `CLEAR_WITHIN_S`."""
     give_up_at = simulation.now() + CLEAR_WITHIN_S
     while simulation.now() < give_up_at:
         for each in (ip,) if ip else IPS:
@@ -86,10 +89,11 @@
             if call.status is not None and call.status < 500:
                 return call
             await asyncio.sleep(0.1)
-    raise AssertionError(f"no clear answer to {change} within {CLEAR_WITHIN_S} s")
+    raise AssertionError(f"{change} got no status below 500 within {CLEAR_WITHIN_S} s")
 
 
 async def other_primary(simulation: ChangeSimulation, than: Node) -> Node:
+    """Wait until a node other than `than` is the primary, and return that node."""
     async with asyncio.timeout(CLEAR_WITHIN_S):
         while (node := simulation.primary()) is None or node is than:
             await asyncio.sleep(0.05)
@@ -97,7 +101,7 @@
 
 
 async def configured(simulation: ChangeSimulation) -> Node:
-    """Version 5 is in force; the primary."""
+    """Put configuration version 5 in force and return the primary."""
     assert (await until_clear(simulation, "a", put(5, 0))).status == 200
     primary = simulation.primary()
     assert primary is not None
@@ -105,6 +109,7 @@
 
 
 async def race_on_one_number(simulation: ChangeSimulation) -> None:
+    """Of four concurrent changes on one version, exactly one is accepted."""
     await configured(simulation)
     version, statuses = 5, []
     for _ in range(5):
@@ -120,6 +125,7 @@
 
 
 async def race_with_equal_bodies(simulation: ChangeSimulation) -> None:
+    """Three callers concurrently send the same change; all three get 200, and the change is applied once."""
     await configured(simulation)
     calls = await asyncio.gather(*(until_clear(simulation, ip, put(7, 5, "same"), ip) for ip in IPS))
     assert [call.status for call in calls] == [200, 200, 200]
@@ -127,6 +133,7 @@
 
 
 async def answer_lost_and_sent_again_after_a_failover(simulation: ChangeSimulation) -> None:
+    """A change whose answer was lost is acknowledged, but not applied twice, when retried after a failover."""
     primary = await configured(simulation)
     order = patch(7, 5, "a")
     await simulation.call("a", primary.ip, order, is_answer_lost=True)
@@ -141,6 +148,7 @@
 
 
 async def sent_again_to_all_at_once_and_late(simulation: ChangeSimulation) -> None:
+    """Copies of a change at all nodes, and retries after later versions, are acknowledged again."""
     await configured(simulation)
     order = put(7, 5, "a")
     calls = await asyncio.gather(*(until_clear(simulation, ip, order, ip) for ip in (*IPS, *IPS)))
@@ -151,7 +159,7 @@
 
 
 async def thawed_primary_is_read(simulation: ChangeSimulation) -> None:
-    """It answers before it has read that another took over."""
+    """A resumed primary receives a read before the messages of the member that took over."""
     old = await configured(simulation)
     old.freeze()
     await other_primary(simulation, old)
@@ -163,7 +171,10 @@
 
 
 async def refused_over_a_winner_that_is_lost(simulation: ChangeSimulation) -> None:
-    """A cut-off primary holds an order that is never replicated: the other order of that version may yet win."""
+    """A partitioned primary must not refuse a change because of a competing change that is not replicated.
+
+    After the failover, the refused change may be the one that is accepted.
+    """
     old = await configured(simulation)
     simulation.partitions |= {(old.ip, ip) for ip in IPS if ip != old.ip}
     winner = asyncio.create_task(simulation.call("a", old.ip, put(7, 5, "a")))
@@ -176,6 +187,7 @@
 
 
 async def late_copy_of_an_evacuation(simulation: ChangeSimulation) -> None:
+    """A delayed copy of an evacuation request arrives after the evacuation has ended."""
     primary = await configured(simulation)
     held = asyncio.create_task(simulation.call("a", primary.ip, evacuate("z1"), held_s=3.0))
     await asyncio.sleep(1.0)
@@ -185,6 +197,7 @@
 
 
 async def late_copy_of_the_end_of_an_evacuation(simulation: ChangeSimulation) -> None:
+    """A delayed copy of a request to end an evacuation arrives after the zone has been evacuated again."""
     primary = await configured(simulation)
     assert (await until_clear(simulation, "a", evacuate("z1"))).status == 200
     held = asyncio.create_task(simulation.call("a", primary.ip, end_evacuation("z1"), held_s=3.0))
@@ -195,6 +208,7 @@
 
 
 async def late_copy_of_a_caller_that_does_not_close(simulation: ChangeSimulation) -> None:
+    """A delayed copy of an evacuation request arrives on a connection that its caller has left open."""
     primary = await configured(simulation)
     held = asyncio.create_task(simulation.call("a", primary.ip, evacuate("z1"), held_s=3.0, closes=False))
     await asyncio.sleep(1.0)
@@ -204,7 +218,7 @@
 
 
 async def late_copy_at_a_primary_that_followed(simulation: ChangeSimulation) -> None:
-    """The copy is held up on its way to a node that leads only when the order has been taken back."""
+    """A delayed copy of an evacuation request reaches a node that became the primary after the evacuation had ended."""
     primary = await configured(simulation)
     other = next(ip for ip in IPS if ip != primary.ip)
     held = [
@@ -222,7 +236,10 @@
 
 
 async def evacuation_at_a_thawed_primary(simulation: ChangeSimulation) -> None:
-    """It has an equal one in progress, which was stored everywhere and has been taken back by its successor."""
+    """An evacuation request reaches a resumed primary that still has an equal request pending.
+
+    The pending evacuation was stored by all members, and the new primary has ended that evacuation since.
+    """
     old = await configured(simulation)
     first = asyncio.create_task(simulation.call("a", old.ip, evacuate("z1")))
     while old.member is None or old.member.state.replica.state.evacuated_zones != ("z1",):
@@ -234,13 +251,13 @@
     assert (await until_clear(simulation, "a", end_evacuation("z1"), successor.ip)).status == 200
     again = asyncio.create_task(simulation.call("a", old.ip, evacuate("z1")))
     await asyncio.sleep(0.1)
-    simulation.latency = (0.1, 0.12)  # nobody contradicts it sooner
+    simulation.latency = (0.1, 0.12)  # keeps the members' refusals of the old epoch from arriving earlier
     old.thaw(("call", "message", "tick"), messages_after_s=0.03)
     await again
 
 
 async def order_on_a_version_that_is_still_to_come(simulation: ChangeSimulation) -> None:
-    """Two copies at once; one is looked at before the version that it builds on is taken, one after."""
+    """One copy of a change is processed before the version in its If-Match is committed, another copy afterwards."""
     primary = await configured(simulation)
     follow_up = put(9, 7, "a")
     early = asyncio.create_task(simulation.call("a", primary.ip, follow_up))
@@ -252,6 +269,7 @@
 
 
 async def loser_comes_again_after_a_failover(simulation: ChangeSimulation) -> None:
+    """A change that lost the race for a version is refused again after a failover."""
     primary = await configured(simulation)
     loser = put(8, 5, "b")
     assert (await until_clear(simulation, "a", put(7, 5, "a"))).status == 200
@@ -264,6 +282,7 @@
 
 
 async def primary_is_wiped_after_its_acknowledgement(simulation: ChangeSimulation) -> None:
+    """An acknowledged change survives the loss of the primary's disk."""
     primary = await configured(simulation)
     order = put(7, 5, "a")
     assert (await until_clear(simulation, "a", order, primary.ip)).status == 200
@@ -275,6 +294,7 @@
 
 
 async def all_are_killed_after_an_acknowledgement(simulation: ChangeSimulation) -> None:
+    """An acknowledged change survives a restart of all nodes."""
     await configured(simulation)
     order = patch(7, 5, "a")
     assert (await until_clear(simulation, "a", order)).status == 200
@@ -288,6 +308,7 @@
 
 
 async def invalid_orders(simulation: ChangeSimulation) -> None:
+    """Every node answers an invalid change with 400."""
     await configured(simulation)
     for order in (put(7, 5, service="nobody"), patch(7, 5, service="nobody"), put(5, 5, "x"), patch(4, 5)):
         calls = await asyncio.gather(*(until_clear(simulation, ip, order, ip) for ip in IPS))
@@ -316,17 +337,19 @@
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
 def test_story(scenario: Scenario) -> None:
+    """The history of each scenario follows the specification."""
     play(scenario)
 
 
 def test_refused_order_is_not_in_force_though_its_late_copies_have_effect() -> None:
-    """The refusal holds by itself, without the fence for late copies."""
+    """A refused change stays refused after a failover, even if the servers execute delayed copies of the change."""
     play(loser_comes_again_after_a_failover, NO_FENCE)
 
 
 @pytest.mark.parametrize("scenario", [late_copy_of_an_evacuation, late_copy_of_the_end_of_an_evacuation])
 @pytest.mark.parametrize("faults", [Faults(needs_caller=False), Faults(knows_connections=False)])
 def test_each_fence_alone_keeps_out_the_late_copy_of_a_caller_that_closed(scenario: Scenario, faults: Faults) -> None:
+    """A delayed copy is rejected since its connection has ended, or since that connection is too old."""
     play(scenario, faults)
 
 
@@ -335,7 +358,10 @@
 
 
 def cut_off_primary(ways: str) -> Scenario:
-    """For twenty seconds, with orders and reads on both sides. It stops leading soon."""
+    """Return a scenario that partitions the primary for `CUT_S` seconds, with changes and reads on both sides.
+
+    The old primary must stop leading within `LEADS_ON_S` seconds.
+    """
 
     async def scenario(simulation: ChangeSimulation) -> None:
         old = await configured(simulation)
@@ -362,6 +388,7 @@
 
 @pytest.mark.parametrize("ways", WAYS)
 def test_cut_off_primary_neither_confirms_nor_refuses_nor_tells(ways: str) -> None:
+    """A partitioned primary that continued to lead would answer calls from an outdated state."""
     play(cut_off_primary(ways))
 
 
@@ -375,11 +402,12 @@
 
 
 def any_match(state: ControlState, change: Change) -> Failure | None:
-    """Two winners: any order may win, whatever it builds on."""
+    """Accept a change whatever its If-Match, so that two changes on one version can both be accepted."""
     return None
 
 
 def read_without_confirmation(self: Primary, call: int, now: int) -> list[Action]:
+    """Answer a read without the confirmation of a quorum."""
     return [Reply(call, Committed(self._replica.state_at(self._committed)))]
 
 
@@ -387,13 +415,14 @@
 
 
 def refuse_without_confirmation(self: Primary, pending: PendingCall, now: int) -> list[Action]:
+    """Refuse a change without the confirmation of a quorum."""
     if pending.failure is not None:
         return [Reply(pending.call, pending.failure)]
     return await_confirmation(self, pending, now)
 
 
 def tick_without_doubt(self: PrimaryRole, now: int) -> Outcome:
-    """A primary that goes on, whoever answers."""
+    """Tick a primary that never steps down, whether or not the witnesses answer."""
     return Outcome(self.primary.tick(now))
 
 
@@ -442,6 +471,7 @@
     ],
 )
 def test_story_finds_a_planted_fault(scenario: Scenario, faults: Faults | None, plant: Plant) -> None:
+    """A scenario that passes with its planted fault would check nothing."""
     with plant(), pytest.raises(HistoryError):
         play(scenario, faults, answers_may_differ=True)
 
@@ -458,15 +488,19 @@
     ids=["two winners", "repeats forgotten", "late copies", "reads not confirmed", "refusals not confirmed"],
 )
 def test_days_find_a_planted_fault(faults: Faults | None, plant: Plant) -> None:
+    """Random histories that pass with a planted fault would check nothing."""
     with plant(), pytest.raises(HistoryError):
         for seed in range(DAYS_WITH_A_FAULT):
             run_operators(seed, faults=faults)
 
 
 def test_primary_that_does_not_notice_its_cut_is_found() -> None:
-    """Without `has_lost_contact` alone it still ends: it wants a view without those that it misses, and cannot win it.
+    """The scenario detects a partitioned primary that never steps down and so leads longer than `LEADS_ON_S`.
 
-    Where only its own messages are lost, it hears its successor; where only the others' are, nobody would take over.
+    The fault replaces all of `tick`. Without `has_lost_contact` alone, a primary still stops leading: it proposes a
+    view without the unreachable members, and cannot win that view. The partition must cut both directions. If only the
+    primary's own messages are lost, the primary receives messages from its successor; if only the others' messages are
+    lost, no other member takes over.
     """
     with mock.patch.object(PrimaryRole, "tick", tick_without_doubt), pytest.raises(AssertionError):
         play(cut_off_primary("both"))
--- a/tests/replication/test_departure.py
+++ b/tests/replication/test_departure.py
@@ -1,4 +1,4 @@
-"""The end of a member, by its table."""
+"""Tests of `Departure`, the state machine of a member that leaves the cluster."""
 
 from __future__ import annotations
 
@@ -24,6 +24,7 @@
 
 
 def test_a_departure_by_its_table() -> None:
+    """A member passes through STAYING, LEAVING, ALONE, LEAVING and GRANTED; a grant while STAYING has no effect."""
     view = View(Epoch(1, A), A, (A, B, C), (A, B, C), (A, B, C))
     liveness = MemberLiveness(ReplicationTiming())
     liveness.record_message(D, SECOND)
@@ -51,6 +52,7 @@
 
 
 def test_a_member_that_was_granted_by_an_older_view_waits_on() -> None:
+    """A delayed `LeaveGranted` of an older view must not release a member that the current view may still need."""
     simulation = started()
     ip = others(simulation, primary_of(simulation))[0]
     member = member_of(simulation, ip)
--- a/tests/replication/test_durability.py
+++ b/tests/replication/test_durability.py
@@ -1,4 +1,4 @@
-"""What waits for the disk."""
+"""Tests of `Outbox`, which delays messages until the state that they depend on is durable."""
 
 from __future__ import annotations
 
@@ -17,6 +17,7 @@
 
 
 def test_what_vouches_for_the_disk_waits_and_the_rest_does_not() -> None:
+    """A power loss could break a promise or a confirmation that was sent before its save was durable."""
     outbox = Outbox()
     assert outbox.take([SAVE, PROMISE, HEARTBEAT]) == [HEARTBEAT]
     assert outbox.next_batch() == [SAVE]
--- a/tests/replication/test_join_interleavings.py
+++ b/tests/replication/test_join_interleavings.py
@@ -1,8 +1,7 @@
-"""Small cases of replication in all their interleavings.
+"""Two small replication scenarios in all interleavings: a join with one loss, and a resent change with a failover.
 
-One join with one loss, and one order with a resend and a failover.
-
-By default a part of the moments, in seconds; with `EXPLORER_FULL=1` all of them, in some minutes.
+By default, the tests try a sample of the points at which a fault can occur, which takes seconds; with
+`EXPLORER_FULL=1` they try all of them, which takes some minutes.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 MOMENT_STRIDE = 1 if FULL else 5
 RESEND_STRIDE = 1 if FULL else 11
 DEPTH = 5 if FULL else 3
-JOIN_STEPS = 40  # of time, until a replacement is a witness everywhere
+JOIN_STEPS = 40  # steps of `STEP_NS`, after which the new machine is a witness in every member's view
 FAILOVER_STEPS = 26
 NEW_IP = "10.0.1.1"
 
@@ -33,18 +32,18 @@
 
 
 def power_is_lost(simulation: ReplicationSimulation, ip: str) -> None:
-    """The machine stays down until the recovery."""
+    """Cut the power of a machine, which stays down until `recover`; unsynced writes are lost."""
     simulation.crash(ip, keep_unsynced=False)
 
 
 def power_blinks(simulation: ReplicationSimulation, ip: str) -> None:
-    """The machine is back at once."""
+    """Cut the power of a machine and restart the machine at once; unsynced writes are lost."""
     simulation.crash(ip, keep_unsynced=False)
     simulation.start(ip)
 
 
 def process_is_killed(simulation: ReplicationSimulation, ip: str) -> None:
-    """What was being written is on the disk."""
+    """Kill the process of a machine; writes in progress are completed."""
     simulation.crash(ip, keep_unsynced=True)
 
 
@@ -55,7 +54,7 @@
 
 
 def join(simulation: ReplicationSimulation) -> Iterator[None]:
-    """A machine that is no primary is gone for good; another joins in its place while changes go on."""
+    """Remove a machine other than the primary for good, and let a new machine join in its place amid changes."""
     primary = simulation.primary()
     assert primary is not None
     simulation.submit(primary)
@@ -71,9 +70,12 @@
 @pytest.mark.parametrize("loss", LOSSES)
 @pytest.mark.parametrize("number", range(3))
 def test_a_loss_at_every_moment_of_a_join(number: int, loss: str) -> None:
-    """Each of the three machines, the joining one among them, is lost once at each moment."""
+    """The cluster recovers when one machine is lost at any point of a join.
+
+    Each of the three machines, including the joining one, is lost once at each tested point.
+    """
     length = sum(1 for _ in join(begun()))
-    first = (7 * number + len(loss)) % MOMENT_STRIDE  # other moments for each case
+    first = (7 * number + len(loss)) % MOMENT_STRIDE  # each parametrized case tests different points of the join
     for moment in range(first, length, MOMENT_STRIDE):
         simulation = begun()
         scenario = join(simulation)
@@ -86,11 +88,15 @@
 
 
 def test_every_order_of_the_events_of_a_join_with_one_loss() -> None:
-    """The view is about to change: every order of what comes next, with one loss at any place among it."""
+    """The cluster recovers after every order of the next `DEPTH` events before a view change.
+
+    At most one of the events is a power loss, at any position.
+    """
     assert sum(1 for _ in orders_of_a_join(())) > 2**DEPTH
 
 
 def orders_of_a_join(choices: tuple[int, ...]) -> Iterator[None]:
+    """Replay the chosen events, extend them by every possible event up to `DEPTH`, and yield once per order."""
     simulation = joining()
     is_lost = False
     for choice in choices:
@@ -107,7 +113,7 @@
 
 
 def joining() -> ReplicationSimulation:
-    """The primary asks for promises, to take the new machine into its view."""
+    """Run the join until the primary requests promises for a view with the new machine, and return the simulation."""
     simulation = begun()
     for _ in join(simulation):
         if any(isinstance(packet.message, Prepare) for packet in simulation.packets):
@@ -116,7 +122,10 @@
 
 
 def events_of_a_join(simulation: ReplicationSimulation, is_lost: bool) -> list[tuple[Callable[[], None], bool]]:
-    """Time may pass, any message come, any write end, and one machine lose power; whether it is the loss."""
+    """Return the events that can happen next, each with a flag that is True for a power loss.
+
+    Time advances, any message arrives, any write completes or, while `is_lost` is False, any machine loses power.
+    """
     possible: list[tuple[Callable[[], None], bool]] = [(lambda: pass_time(simulation), False)]
     for number in range(len(simulation.packets)):
         possible.append((lambda number=number: take(simulation, number), False))  # type: ignore[misc]
@@ -129,18 +138,20 @@
 
 
 def pass_time(simulation: ReplicationSimulation) -> None:
+    """Advance the time by one step and tick all machines."""
     simulation.now += STEP_NS
     for ip in simulation.machines:
         simulation.tick(ip)
 
 
-# --- one order, a resend and a failover -----------------------------------------------------------------------------
+# --- one change, a resend and a failover -----------------------------------------------------------------------------
 
 
 def order_with_resend(simulation: ReplicationSimulation, failover: int, resend: int, target: int) -> bool:
-    """An order on the first version; the primary is lost at one moment, and the order is sent again at another.
+    """Submit a change on the first version, crash the primary, and send the change again to another machine.
 
-    Tells whether the story came as far as the resend.
+    The crash comes after `failover` events, and the resend `resend` events after the crash. Return True if at least
+    `resend` events followed the crash.
     """
     primary = simulation.primary()
     assert primary is not None
@@ -164,6 +175,7 @@
 
 @pytest.mark.parametrize("target", range(2))
 def test_an_order_with_a_resend_and_a_failover_at_all_moments(target: int) -> None:
+    """A change that is sent again around a failover must not be refused by one primary and committed by another."""
     length = sum(1 for _ in first_order())
     for failover in range(length + 1):
         for resend in range(failover % RESEND_STRIDE, 10**6, RESEND_STRIDE):
@@ -172,6 +184,7 @@
 
 
 def first_order() -> Iterator[None]:
+    """Submit a change on the first version, and yield after each event of two time steps."""
     simulation = begun()
     primary = simulation.primary()
     assert primary is not None
@@ -180,13 +193,14 @@
 
 
 def apply_without_repeats(state: ControlState, change: Change) -> ControlState | Failure:
-    """An order that was taken is looked at again, as if it were a new one."""
+    """Apply a change without checking whether the same change was applied before."""
     if change.if_match not in (ANY_VERSION, state.index):
         return Failure(ResultCode.CONFIG_STALE_MATCH, "another version is current")
     return apply_tag(state, change)
 
 
 def test_an_order_that_is_not_known_again_is_found() -> None:
+    """The checks detect the refusal of a resent change that was committed before but is not recognized."""
     with mock.patch.object(replication_simulation, "apply_tag", apply_without_repeats), pytest.raises(InvariantError):
         for failover in range(12, 40):
             for resend in range(200, 300, 25):
--- a/tests/replication/test_member_liveness.py
+++ b/tests/replication/test_member_liveness.py
@@ -1,4 +1,4 @@
-"""Who counts as alive, as steady and as leaving, by the messages that came."""
+"""Tests of `MemberLiveness`, which decides from received messages whether a member is alive, steady or leaving."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 
 
 def test_a_member_is_steady_after_it_was_heard_for_a_while() -> None:
+    """A member is alive from its first message, and steady once its messages have arrived without a gap for a while."""
     timing = ReplicationTiming()
     liveness = MemberLiveness(timing)
     liveness.record_message(B, 0)
@@ -25,6 +26,7 @@
 
 
 def test_an_unhealthy_or_failed_member_is_not_alive() -> None:
+    """A member with an unhealthy disk, or with a recent failure to store a change in time, may not be a replica."""
     timing = ReplicationTiming()
     liveness = MemberLiveness(timing)
     liveness.record_message(B, 0, healthy=False)
@@ -39,6 +41,7 @@
 
 
 def test_the_newer_member_at_an_address_succeeds_the_older() -> None:
+    """After a machine loses its disk, only the new member at its address is alive; the old member cannot return."""
     liveness = MemberLiveness(ReplicationTiming())
     liveness.record_message(C, 0)
     liveness.record_message(C_WIPED, 1)
@@ -47,6 +50,7 @@
 
 
 def test_a_restarted_member_leaves_no_more() -> None:
+    """A member that no longer repeats its announced departure has restarted, and does not count as leaving."""
     timing = ReplicationTiming()
     liveness = MemberLiveness(timing)
     liveness.record_message(B, SECOND)
--- a/tests/replication/test_removal.py
+++ b/tests/replication/test_removal.py
@@ -1,4 +1,4 @@
-"""How the operator takes a control process out for good, and when that is refused."""
+"""Tests of how an operator removes a control process for good, and of when such a removal is refused."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def ask_removal(simulation: ReplicationSimulation, ip: str) -> Removal | Failure:
-    """One order of the operator at the primary."""
+    """Request the removal of the member at `ip`; unless the primary refuses, start the departure of that member."""
     primary = simulation.machines[primary_of(simulation)]
     assert primary.member is not None
     outcome = primary.member.removal(ip, simulation.now)
@@ -40,6 +40,7 @@
 
 @pytest.mark.parametrize("leads", [True, False])
 def test_the_operator_takes_a_member_out(leads: bool) -> None:
+    """A spare member takes the place of the removed one, and the cluster then tolerates the loss of its primary."""
     simulation = started()
     simulation.add(NEW, (primary_of(simulation),))
     simulation.run_between_regions(CATCH_UP_LIMIT_NS)
@@ -54,6 +55,7 @@
 
 
 def test_a_removal_that_nobody_could_make_up_for_is_refused() -> None:
+    """Without a spare member, a removal would leave the electorate with too few members."""
     simulation = started()
     for ip in simulation.machines:
         outcome = ask_removal(simulation, ip)
@@ -66,6 +68,7 @@
 
 
 def test_one_spare_makes_up_for_one_removal_only() -> None:
+    """Two removals at nearly the same time must not both count on the same spare member."""
     for first, second in ((1, 2), (2, 1)):
         simulation = started()
         simulation.add(NEW, (primary_of(simulation),))
@@ -80,6 +83,7 @@
 
 
 def test_a_removal_is_for_the_primary() -> None:
+    """A backup answers a removal request with NOT_PRIMARY."""
     simulation = started()
     outcome = member_of(simulation, others(simulation, primary_of(simulation))[0]).removal(NEW, simulation.now)
     assert isinstance(outcome, Failure)
@@ -87,6 +91,7 @@
 
 
 def test_a_removal_is_done_when_the_view_without_it_is_settled() -> None:
+    """While a reconfiguration is open, the removed member may still vote, so the removal is not done yet."""
     view = View(Epoch(1, A), A, (A, C, D), (A, C, D), (A, B, C))
     for is_reconfiguration_complete, expected in ((False, Removal.IN_PROGRESS), (True, Removal.DONE)):
         assert (
--- a/tests/replication/test_replication_catch_up.py
+++ b/tests/replication/test_replication_catch_up.py
@@ -1,4 +1,4 @@
-"""When a member that catches up may join, and how many changes are on their way to it."""
+"""Tests of `CatchUp` and `ChangeFlow`: when a member may join a view, and how many bytes may be in flight."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def following(log: ChangeLog) -> CatchUp:
-    """A member that is at the state with which the view began."""
+    """Return a `CatchUp` with one member, which has stored the state with which the view began."""
     replica = Replica(apply_tag, EPOCH, ControlState(index=BEGAN_AT.index), BEGAN_AT.index)
     catch_up = CatchUp(
         EPOCH, BEGAN_AT, replica=replica, log=log, snapshots=SnapshotSource(None), timing=ReplicationTiming()
@@ -34,6 +34,7 @@
 
 
 def test_a_member_that_confirms_in_time_is_close() -> None:
+    """A member counts as nearly caught up as long as no change is unconfirmed for more than `MAX_JOIN_LAG_NS`."""
     log = ChangeLog(BEGAN_AT.index)
     catch_up = following(log)
     assert catch_up.is_nearly_caught_up(MEMBER, 0)
@@ -47,6 +48,7 @@
 
 
 def test_a_member_to_which_not_everything_was_sent_is_not_close() -> None:
+    """A member may lack changes that the window does not let through yet, however quickly it confirms the others."""
     log = ChangeLog(BEGAN_AT.index)
     catch_up = following(log)
     for _ in range(2):
@@ -58,6 +60,7 @@
 
 
 def test_a_member_without_a_state_of_the_view_gets_one() -> None:
+    """A member that has not stored the initial state of the view is sent a snapshot, and may not join before."""
     log = ChangeLog(BEGAN_AT.index)
     catch_up = following(log)
     catch_up.set_members([], 0)
@@ -69,10 +72,11 @@
 
 
 def test_the_window_follows_what_the_link_bears() -> None:
+    """On a slow link a large window would delay the heartbeats that share the connection."""
     log = ChangeLog(0)
     flow = ChangeFlow(log, 0)
     now = 0
-    for _ in range(8):  # quick and full: it doubles up to the most
+    for _ in range(8):  # quick confirmations of large batches double the window
         log.append(change(MAX_WINDOW_BYTES), now)
         assert flow.next_batch(now) is not None
         now += QUICK_ANSWER_NS
@@ -87,6 +91,7 @@
 
 
 def test_one_change_is_always_sent_and_no_more_than_the_window() -> None:
+    """A change that is larger than the window must be sent alone, or the member would never get it."""
     log = ChangeLog(0)
     flow = ChangeFlow(log, 0)
     large, small = change(2 * MIN_WINDOW_BYTES), change(10)
--- a/tests/replication/test_replication_explorer.py
+++ b/tests/replication/test_replication_explorer.py
@@ -1,6 +1,6 @@
-"""Replication under an explorer: random walks with every kind of trouble, and planted faults that it must find.
+"""Random walks over the replication protocol with injected faults, and planted bugs that the checks must detect.
 
-`EXPLORER_WALKS` sets the number of walks; what is run here by default takes seconds.
+`EXPLORER_WALKS` sets the number of walks; the default number takes seconds.
 """
 
 from __future__ import annotations
@@ -28,11 +28,13 @@
 
 @pytest.mark.parametrize("seed", range(WALKS))
 def test_three_machines(seed: int) -> None:
+    """The invariants hold under random faults on three machines, of which one may be lost."""
     RandomWalk(seed).run(STEPS)
 
 
 @pytest.mark.parametrize("seed", range(WALKS // 4))
 def test_five_machines_of_which_two_may_be_lost(seed: int) -> None:
+    """The invariants hold under random faults on five machines, of which two may be lost."""
     RandomWalk(seed, machines=5, tolerated=2).run(STEPS)
 
 
@@ -40,10 +42,12 @@
 
 
 def reply_without_confirmation(self: Primary, call: int, now: int) -> list[Action]:
+    """Answer a read without the confirmation of a quorum."""
     return [Reply(call, Committed(self._replica.state_at(self._committed)))]
 
 
 def commit_without_the_others(self: Primary, now: int) -> list[Action]:
+    """Commit a change that only the primary itself has stored."""
     committed = self._progress[self.me].flow.index
     if committed <= self._committed:
         return []
@@ -52,15 +56,18 @@
 
 
 def first_source(self: Candidate) -> MemberId | None:
+    """Return the member that promised first, whether or not its state is the newest."""
     return next(iter(self._promises), None)
 
 
 def wipe_and_vote_as_before(self: ReplicationSimulation, ip: str) -> None:
+    """Wipe the disk of a machine but keep its member ID, so that the machine votes without its earlier promises."""
     self.crash(ip, keep_unsynced=False)
     self.machines[ip].durable = DurableState.genesis(genesis_view(self.seed_ips))
 
 
 def without(*messages: type) -> tuple[type, ...]:
+    """Return `AFTER_SYNC` without the given message types, which are then sent before their state is durable."""
     return tuple(message for message in AFTER_SYNC if message not in messages)
 
 
@@ -75,22 +82,25 @@
 
 @pytest.mark.parametrize("fault", FOUND_BY_WALKS)
 def test_walks_find_a_planted_fault(fault: str) -> None:
+    """Random walks that pass with a planted fault would check nothing."""
     with FOUND_BY_WALKS[fault](), pytest.raises(InvariantError):
         for seed in range(200):
             RandomWalk(seed).run(STEPS)
 
 
 def test_a_thawed_primary_answers_no_old_state() -> None:
+    """A primary that was suspended while another machine took over must not answer a read from its outdated state."""
     thawed_primary_is_read(ReplicationSimulation())
 
 
 def test_a_read_without_confirmation_is_found() -> None:
+    """The checks detect a read that a former primary answers from its outdated state."""
     with mock.patch.object(Primary, "read", reply_without_confirmation), pytest.raises(InvariantError):
         thawed_primary_is_read(ReplicationSimulation())
 
 
 def thawed_primary_is_read(simulation: ReplicationSimulation) -> None:
-    """The primary stands still while another takes over; then it is asked before its clock tells it anything."""
+    """Suspend the primary until another takes over, then send the old primary a read before its next tick."""
     simulation.run(20)
     old = simulation.primary()
     assert old is not None
@@ -104,16 +114,18 @@
 
 
 def test_a_wiped_machine_does_not_vote() -> None:
+    """A machine without its disk must not vote, because its earlier promises and changes are lost."""
     wiped_machine_meets_one_left_behind(ReplicationSimulation())
 
 
 def test_a_wiped_witness_that_votes_is_found() -> None:
+    """The checks detect the loss of a change after a wiped machine voted under its old member ID."""
     with mock.patch.object(ReplicationSimulation, "wipe", wipe_and_vote_as_before), pytest.raises(InvariantError):
         wiped_machine_meets_one_left_behind(ReplicationSimulation())
 
 
 def wiped_machine_meets_one_left_behind(simulation: ReplicationSimulation) -> None:
-    """Of three, one has missed a change, one is down and one was wiped: nobody may go on without the change."""
+    """Of three machines, one missed a change, one is down and one was wiped: no primary may lead without the change."""
     simulation.run(20)
     first, second, left_behind = simulation.machines
     assert simulation.primary() == first
@@ -134,26 +146,33 @@
 
 
 def test_a_promise_fences_the_primary_before() -> None:
+    """After a replica has promised to a candidate, the previous primary must not commit a change with that replica."""
     replica_promises_to_a_candidate(ReplicationSimulation())
 
 
 def test_a_lower_epoch_that_is_accepted_is_found() -> None:
+    """The checks detect a witness that accepts messages of a lower epoch than the one it promised."""
     with mock.patch.object(Witness, "refuses", lambda self, epoch: False), pytest.raises(InvariantError):
         replica_promises_to_a_candidate(ReplicationSimulation())
 
 
 def test_a_promise_survives_the_loss_of_power() -> None:
+    """A replica that loses power after a promise must still refuse changes of the previous primary."""
     replica_promises_to_a_candidate(ReplicationSimulation(), loses_power=True)
 
 
 def test_a_promise_told_before_its_sync_is_found() -> None:
+    """The checks detect a promise that was sent before its sync and forgotten in a power loss."""
     told_early = mock.patch.object(durability, "AFTER_SYNC", without(Promise, Fetched))
     with told_early, pytest.raises(InvariantError):
         replica_promises_to_a_candidate(ReplicationSimulation(), loses_power=True)
 
 
 def replica_promises_to_a_candidate(simulation: ReplicationSimulation, loses_power: bool = False) -> None:
-    """The only backup promises to a candidate that takes its state; then the primary before sends it a change."""
+    """Let the only backup promise to a candidate; then let the previous primary send the backup a change.
+
+    The candidate fetches the state of the backup before that change.
+    """
     simulation.run(20)
     primary, candidate, backup = simulation.machines
     assert simulation.primary() == primary
@@ -182,7 +201,7 @@
 
 
 def exchange(simulation: ReplicationSimulation, candidate: str, backup: str, sync_backup: bool) -> None:
-    """Deliver what these two say to each other, but no state to install."""
+    """Deliver the messages addressed to the candidate and the backup, except `Install`."""
     for _ in range(6):
         for packet in list(simulation.packets):
             if packet.to_ip in (candidate, backup) and not isinstance(packet.message, Install):
@@ -194,7 +213,7 @@
 
 
 def acknowledge(simulation: ReplicationSimulation, submit: Callable[[str], str]) -> None:
-    """Run until some change has been acknowledged."""
+    """Submit changes to the primaries until one of the changes is acknowledged."""
     before = set(simulation.acknowledged)
     for primary in primaries(simulation):
         submit(primary)
@@ -205,7 +224,7 @@
 
 
 def primaries(simulation: ReplicationSimulation) -> Iterator[str]:
-    """Who leads, asked again after each moment, for at most ten seconds."""
+    """Yield the current primary after each time step, for at most ten seconds."""
     for _ in range(200):
         simulation.run(1)
         primary = simulation.primary()
--- a/tests/replication/test_replication_interleavings.py
+++ b/tests/replication/test_replication_interleavings.py
@@ -1,6 +1,7 @@
-"""Every single trouble at every moment of a few short stories, and every order of events around a critical moment.
+"""Each kind of fault at every point of a few short scenarios, and every order of events around a change of primary.
 
-By default a part of the moments, in seconds; with `EXPLORER_FULL=1` all of them, in some minutes.
+By default, the tests try a sample of the points at which a fault can occur, which takes seconds; with
+`EXPLORER_FULL=1` they try all of them, which takes some minutes.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 def moments(simulation: ReplicationSimulation, steps: int) -> Iterator[None]:
-    """Time passes; between any two events there is a moment."""
+    """Run `steps` time steps of `STEP_NS`, and yield after each tick, delivery and write: a fault may occur there."""
     for _ in range(steps):
         simulation.now += STEP_NS
         for ip in simulation.machines:
@@ -45,6 +46,7 @@
 
 
 def sync_all(simulation: ReplicationSimulation) -> Iterator[None]:
+    """Complete the pending writes of all machines, and yield after each write."""
     for ip in simulation.machines:
         if simulation.machines[ip].writing is not None:
             simulation.sync(ip)
@@ -55,11 +57,11 @@
     return any(machine.writing is not None for machine in simulation.machines.values())
 
 
-# --- the stories --------------------------------------------------------------------------------------------------
+# --- the scenarios --------------------------------------------------------------------------------------------------
 
 
 def two_writes_race(simulation: ReplicationSimulation) -> Iterator[None]:
-    """Two changes on one version, the winner sent again, and a read."""
+    """Submit two changes on one version, send the accepted one again, and read."""
     primary = simulation.primary()
     assert primary is not None
     tag = simulation.submit(primary, if_match=0)
@@ -71,7 +73,7 @@
 
 
 def primary_is_lost(simulation: ReplicationSimulation) -> Iterator[None]:
-    """A change is on its way when the primary loses power; another takes over, and the change is sent again."""
+    """The primary loses power while a change is in flight; another machine takes over, and the change is sent again."""
     primary = simulation.primary()
     assert primary is not None
     tag = simulation.submit(primary)
@@ -84,7 +86,7 @@
 
 
 def disk_is_lost(simulation: ReplicationSimulation) -> Iterator[None]:
-    """A machine comes back with an empty disk and joins, while changes go on."""
+    """A machine loses its disk, restarts and joins again, while changes continue."""
     primary = simulation.primary()
     assert primary is not None
     simulation.submit(primary)
@@ -101,10 +103,12 @@
 SCENARIOS: dict[str, Scenario] = {each.__name__: each for each in (two_writes_race, primary_is_lost, disk_is_lost)}
 
 
-# --- the troubles -------------------------------------------------------------------------------------------------
+# --- the faults -------------------------------------------------------------------------------------------------
 
 
 def power_blinks(ip: str) -> Trouble:
+    """Return a fault that cuts the power of a machine and restarts it at once; unsynced writes are lost."""
+
     def trouble(simulation: ReplicationSimulation) -> None:
         simulation.crash(ip, keep_unsynced=False)
         simulation.start(ip)
@@ -113,6 +117,8 @@
 
 
 def process_blinks(ip: str) -> Trouble:
+    """Return a fault that kills the process of a machine and restarts it at once; writes in progress are completed."""
+
     def trouble(simulation: ReplicationSimulation) -> None:
         simulation.crash(ip, keep_unsynced=True)
         simulation.start(ip)
@@ -121,6 +127,8 @@
 
 
 def is_cut_off(ip: str) -> Trouble:
+    """Return a fault that partitions a machine from all others in both directions."""
+
     def trouble(simulation: ReplicationSimulation) -> None:
         for other in simulation.machines:
             simulation.partition(ip, other)
@@ -129,6 +137,8 @@
 
 
 def says_nothing(ip: str) -> Trouble:
+    """Return a fault that loses every message from a machine, while the machine still receives messages."""
+
     def trouble(simulation: ReplicationSimulation) -> None:
         for other in simulation.machines:
             simulation.partition(ip, other, both_ways=False)
@@ -137,15 +147,21 @@
 
 
 def stands_still(ip: str) -> Trouble:
+    """Return a fault that suspends the process of a machine until `recover`."""
     return lambda simulation: simulation.frozen.add(ip)
 
 
 def disk_fails(ip: str) -> Trouble:
+    """Return a fault that marks the disk of a machine as unhealthy until `recover`."""
     return lambda simulation: simulation.set_healthy(ip, False)
 
 
 def disk_is_wiped(ip: str) -> Trouble:
-    """With the power of all others, where nothing else is lost."""
+    """Return a fault that cuts the power of all machines and wipes the disk of one.
+
+    The fault does nothing unless all other machines have stored the same view with every machine as a replica: only
+    then may one disk be lost.
+    """
 
     def trouble(simulation: ReplicationSimulation) -> None:
         if not is_fully_replicated(simulation, ip):
@@ -160,6 +176,7 @@
 
 
 def all_power_blinks(simulation: ReplicationSimulation) -> None:
+    """Cut the power of all machines and restart each at once; unsynced writes are lost."""
     for ip in simulation.machines:
         simulation.crash(ip, keep_unsynced=False)
         simulation.start(ip)
@@ -186,6 +203,7 @@
 
 
 def begun() -> ReplicationSimulation:
+    """Return a simulation that has elected its first primary."""
     simulation = ReplicationSimulation()
     simulation.run(14)
     assert simulation.primary() is not None
@@ -199,8 +217,9 @@
 @pytest.mark.parametrize("name", TROUBLES)
 @pytest.mark.parametrize("scenario", SCENARIOS)
 def test_trouble_at_every_moment(scenario: str, name: str) -> None:
+    """The cluster recovers, and loses no acknowledged change, when a fault occurs at any point of a scenario."""
     moments_of_story = length_of(SCENARIOS[scenario])
-    first = sum(name.encode()) % STRIDE  # other moments for each trouble
+    first = sum(name.encode()) % STRIDE  # each fault is tested at different points of the scenario
     for moment in range(first, moments_of_story, STRIDE):
         simulation = begun()
         telling = SCENARIOS[scenario](simulation)
@@ -213,13 +232,16 @@
 
 
 def test_every_order_around_a_change_of_the_primary() -> None:
-    """A rival has asked for promises while a change of the primary is on its way: every order of the next events."""
+    """The cluster recovers after every order of the next `DEPTH` events around a change of primary.
+
+    A rival candidate has requested promises while a change from the primary is still in flight.
+    """
     tried = sum(1 for _ in orders(()))
     assert tried > 3**DEPTH
 
 
 def orders(choices: tuple[int, ...]) -> Iterator[None]:
-    """Tell the story with these choices; where it goes on, with each further one."""
+    """Replay the chosen events, extend them by every possible event up to `DEPTH`, and yield once per order."""
     simulation = rivals()
     for choice in choices:
         events(simulation)[choice]()
@@ -233,7 +255,10 @@
 
 
 def rivals() -> ReplicationSimulation:
-    """The primary has sent a change, and another member, which missed it for a while, asks for promises."""
+    """Return a simulation with a change of the primary in flight and a rival candidate.
+
+    The rival received no message from the primary for a while, and has requested promises.
+    """
     simulation = begun()
     primary = simulation.primary()
     assert primary is not None
@@ -255,7 +280,7 @@
 
 
 def events(simulation: ReplicationSimulation) -> list[Callable[[], None]]:
-    """What can happen next: any message may come, any write end, and any machine may lose power."""
+    """Return the events that can happen next: a message arrives, a write completes or a machine loses power."""
     possible: list[Callable[[], None]] = [
         partial(take, simulation, number) for number in range(len(simulation.packets))
     ]
--- a/tests/replication/test_resilience.py
+++ b/tests/replication/test_resilience.py
@@ -1,4 +1,4 @@
-"""How many further losses a view bears."""
+"""Tests of `resilience_of`: how many more members a view can lose."""
 
 from __future__ import annotations
 
@@ -23,5 +23,6 @@
     ],
 )
 def test_tolerable_losses(view: View, is_reconfiguration_complete: bool, tolerated: int, tolerable: int) -> None:
+    """Check the reported copies, voters and tolerable losses of views of different size and state."""
     found = resilience_of(view, is_reconfiguration_complete, tolerated)
     assert found == Resilience(len(view.replicas), len(view.witnesses), not is_reconfiguration_complete, tolerable)
--- a/tests/replication/test_view_planning.py
+++ b/tests/replication/test_view_planning.py
@@ -1,4 +1,4 @@
-"""Whom a candidate waits for before it proposes a view."""
+"""Tests of which members a candidate waits for before it proposes a view."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 def test_a_candidate_waits_a_little_for_those_that_stay() -> None:
-    """It has the promise of a member that leaves already; that of one that stays may be on its way."""
+    """A candidate that has the promise of a leaving member waits `answer_grace_ns` for the promise of a staying member.
+
+    That promise may still be in flight, and a view without the leaving member is preferred.
+    """
     timing = ReplicationTiming()
     liveness = MemberLiveness(timing)
     for member in (B, C):
--- a/tests/replication/test_view_rules.py
+++ b/tests/replication/test_view_rules.py
@@ -1,4 +1,4 @@
-"""Whom a new view may consist of, and who decides for it."""
+"""Tests of the rules for the replicas and witnesses of a new view, and for the quorums that decide on the view."""
 
 from __future__ import annotations
 
@@ -30,19 +30,23 @@
 
 
 def test_a_silent_replica_is_left_out_but_stays_a_witness() -> None:
+    """An unusable member leaves the replicas of the next view, but keeps its vote as a witness."""
     assert plan((A, B)) == View(NEXT, A, (A, B), (A, B, C), (A, B, C))
 
 
 def test_too_few_replicas_make_no_view() -> None:
+    """A view with one replica could not tolerate the loss of a machine, so no view is planned."""
     assert plan((A,)) is None
 
 
 def test_a_wiped_machine_takes_its_own_place() -> None:
+    """The new member at the address of a wiped machine replaces the old member at once."""
     planned = plan((A, B, C_WIPED))
     assert planned == View(NEXT, A, (A, B, C_WIPED), (A, B, C_WIPED), (A, B, C))
 
 
 def test_another_machine_takes_the_place_of_one_that_is_gone_only() -> None:
+    """A member at another address replaces a witness only when that witness is replaceable."""
     patient = plan((A, B, D))
     assert patient is not None
     assert patient.witnesses == (A, B, C)
@@ -52,7 +56,7 @@
 
 
 def test_witnesses_stay_as_they_are_on_a_view_that_may_not_be_in_force() -> None:
-    """Two open changes of the electorate could be decided by majorities that share nobody."""
+    """With two open changes of the electorate, disjoint majorities could decide on different views."""
     unsettled = View(Epoch(4, A), A, (A, B, D), (A, B, D), (A, B, C))
     planned = plan_view(
         unsettled,
@@ -69,6 +73,7 @@
 
 
 def test_growth_is_by_pairs() -> None:
+    """The electorate grows by two members at a time, so that an odd size stays odd."""
     assert plan_witnesses((A, B, C), (A, B, C, D), lambda _: False, 5) == (A, B, C)
     assert plan_witnesses((A, B, C), (A, B, C, D, E), lambda _: False, 5) == (A, B, C, D, E)
     assert plan_witnesses((A, B, C), (A, B, C, D, E, F), lambda _: False, 3) == (A, B, C)
@@ -76,10 +81,12 @@
 
 @pytest.mark.parametrize(("witnesses", "tolerated", "fewest"), [(3, 1, 2), (5, 2, 3), (3, 2, 2), (1, 1, 1)])
 def test_fewest_replicas(witnesses: int, tolerated: int, fewest: int) -> None:
+    """A view needs one replica more than may be lost, or a majority of the witnesses where that is fewer."""
     assert fewest_replicas(witnesses, tolerated) == fewest
 
 
 def test_a_view_that_may_not_be_in_force_needs_both_majorities() -> None:
+    """An open change of the electorate needs a majority of the old and of the new witnesses."""
     view = View(NEXT, A, (A, D), (A, D, E), (A, B, C))
     assert not view.has_quorum((A, D), in_force=False)
     assert view.has_quorum((A, D), in_force=True)
@@ -88,9 +95,11 @@
 
 
 def test_genesis_is_the_same_in_any_order_of_the_seeds() -> None:
+    """Members with the same seeds in a different order must start from the same genesis view."""
     assert genesis_view(("10.0.0.2", "10.0.0.1")) == genesis_view(("10.0.0.1", "10.0.0.2"))
 
 
 def test_surplus_is_dropped_by_pairs_first_what_is_not_usable() -> None:
+    """Surplus witnesses are dropped two at a time, unusable ones first; a single surplus witness stays."""
     assert plan_witnesses((A, B, C, D, E), (C, A, B, D), lambda _: False, 3) == (A, B, C)
     assert plan_witnesses((A, B, C, D), (A, B, C, D), lambda _: False, 3) == (A, B, C, D)
