--- a/tests/replication/test_bounded_memory.py
+++ b/tests/replication/test_bounded_memory.py
@@ -19,17 +19,17 @@
 WORKER = Worker("llm", "10.0.0.9:8080", "z1")
 
 
-def test_members_whose_disks_were_lost_are_forgotten() -> None:
+def test_members_with_lost_disks_are_forgotten_after_timeout() -> None:
     """A member that lost its disk returns under a new ID; without a limit, the old IDs would accumulate forever."""
-    known = MemberLiveness(ReplicationTiming())
-    for life in range(100):
-        known.record_message(MemberId(f"10.0.0.2/{life}"), life * liveness.FORGET_AFTER_NS // 10)
-    assert len(known.known()) <= 11
-    assert known.is_replaceable(MemberId("10.0.0.2/0"), 10 * liveness.FORGET_AFTER_NS)
-    assert known.is_alive(MemberId("10.0.0.2/99"), 99 * liveness.FORGET_AFTER_NS // 10)
+    members = MemberLiveness(ReplicationTiming())
+    for disk in range(100):
+        members.record_message(MemberId(f"10.0.0.2/{disk}"), disk * liveness.FORGET_AFTER_NS // 10)
+    assert len(members.known()) <= 11
+    assert members.is_replaceable(MemberId("10.0.0.2/0"), 10 * liveness.FORGET_AFTER_NS)
+    assert members.is_alive(MemberId("10.0.0.2/99"), 99 * liveness.FORGET_AFTER_NS // 10)
 
 
-def test_workers_that_left_are_forgotten_after_a_while_and_those_that_may_return_are_not() -> None:
+def test_deregistered_workers_are_forgotten_after_timeout_and_missing_ones_are_kept() -> None:
     """The registry must not keep deregistered workers forever, but must keep a missing worker, which may return."""
     registry = WorkerRegistry(heartbeat_timeout_ns=1, timeouts_since_ns=0)
     for number in range(100):
@@ -47,7 +47,7 @@
     assert set(registry._entries) == {"i-silent"}
 
 
-def test_repeats_do_not_pile_up_behind_a_disk_that_stalls() -> None:
+def test_repeated_message_is_queued_once_while_the_disk_stalls() -> None:
     """While a disk stalls, repeated confirmations would fill the outbox if equal messages were queued again."""
     outbox = Outbox()
     outbox.take([SaveCommitted(1)])
@@ -58,7 +58,7 @@
     assert outbox.batch_durable() == [Send(MemberId("10.0.0.1/0"), Appended(EPOCH, index)) for index in (1, 2)]
 
 
-def test_a_transport_forgets_peers_to_which_nothing_is_sent() -> None:
+def test_transport_forgets_idle_peers_and_keeps_those_with_queued_messages() -> None:
     """A transport deletes its state for idle peers, and keeps a peer with a queued message."""
 
     async def work() -> None:
--- a/tests/replication/test_departure.py
+++ b/tests/replication/test_departure.py
@@ -23,7 +23,7 @@
 A, B, C, D = (MemberId(f"10.0.0.{number}/0") for number in range(1, 5))
 
 
-def test_a_departure_by_its_table() -> None:
+def test_departure_passes_through_its_states() -> None:
     """A member passes through STAYING, LEAVING, ALONE, LEAVING and GRANTED; a grant while STAYING has no effect."""
     view = View(Epoch(1, A), A, (A, B, C), (A, B, C), (A, B, C))
     liveness = MemberLiveness(ReplicationTiming())
@@ -51,7 +51,7 @@
     assert departure.may_end
 
 
-def test_a_member_that_was_granted_by_an_older_view_waits_on() -> None:
+def test_grant_of_an_older_view_does_not_release_a_member() -> None:
     """A delayed `LeaveGranted` of an older view must not release a member that the current view may still need."""
     simulation = started()
     ip = others(simulation, primary_of(simulation))[0]
--- a/tests/replication/test_durability.py
+++ b/tests/replication/test_durability.py
@@ -16,7 +16,7 @@
 HEARTBEAT = Send(B, Heartbeat(NEXT, 1, 0))
 
 
-def test_what_vouches_for_the_disk_waits_and_the_rest_does_not() -> None:
+def test_messages_that_depend_on_unsynced_state_wait_and_others_do_not() -> None:
     """A power loss could break a promise or a confirmation that was sent before its save was durable."""
     outbox = Outbox()
     assert outbox.take([SAVE, PROMISE, HEARTBEAT]) == [HEARTBEAT]
--- a/tests/replication/test_member_liveness.py
+++ b/tests/replication/test_member_liveness.py
@@ -13,7 +13,7 @@
 C_WIPED = MemberId("10.0.0.3/new")
 
 
-def test_a_member_is_steady_after_it_was_heard_for_a_while() -> None:
+def test_member_is_steady_after_messages_without_a_gap() -> None:
     """A member is alive from its first message, and steady once its messages have arrived without a gap for a while."""
     timing = ReplicationTiming()
     liveness = MemberLiveness(timing)
@@ -25,7 +25,7 @@
     assert not liveness.is_alive(B, timing.steady_after_ns + timing.unresponsive_after_ns + 1)
 
 
-def test_an_unhealthy_or_failed_member_is_not_alive() -> None:
+def test_unhealthy_or_failed_member_is_not_alive() -> None:
     """A member with an unhealthy disk, or with a recent failure to store a change in time, may not be a replica."""
     timing = ReplicationTiming()
     liveness = MemberLiveness(timing)
@@ -40,7 +40,7 @@
     assert liveness.is_alive(B, timing.readmission_delay_ns + 1)
 
 
-def test_the_newer_member_at_an_address_succeeds_the_older() -> None:
+def test_newer_member_at_an_address_supersedes_the_older() -> None:
     """After a machine loses its disk, only the new member at its address is alive; the old member cannot return."""
     liveness = MemberLiveness(ReplicationTiming())
     liveness.record_message(C, 0)
@@ -49,7 +49,7 @@
     assert liveness.is_alive(C_WIPED, 1)
 
 
-def test_a_restarted_member_leaves_no_more() -> None:
+def test_restarted_member_no_longer_counts_as_leaving() -> None:
     """A member that no longer repeats its announced departure has restarted, and does not count as leaving."""
     timing = ReplicationTiming()
     liveness = MemberLiveness(timing)
--- a/tests/replication/test_removal.py
+++ b/tests/replication/test_removal.py
@@ -28,7 +28,7 @@
 NEW = "10.0.0.9"
 
 
-def ask_removal(simulation: ReplicationSimulation, ip: str) -> Removal | Failure:
+def request_removal(simulation: ReplicationSimulation, ip: str) -> Removal | Failure:
     """Request the removal of the member at `ip`; unless the primary refuses, start the departure of that member."""
     primary = simulation.machines[primary_of(simulation)]
     assert primary.member is not None
@@ -38,36 +38,36 @@
     return outcome
 
 
-@pytest.mark.parametrize("leads", [True, False])
-def test_the_operator_takes_a_member_out(leads: bool) -> None:
+@pytest.mark.parametrize("removes_primary", [True, False])
+def test_operator_removes_a_member_that_a_spare_replaces(removes_primary: bool) -> None:
     """A spare member takes the place of the removed one, and the cluster then tolerates the loss of its primary."""
     simulation = started()
     simulation.add(NEW, (primary_of(simulation),))
     simulation.run_between_regions(CATCH_UP_LIMIT_NS)
-    ip = primary_of(simulation) if leads else others(simulation, primary_of(simulation), NEW)[0]
-    assert ask_removal(simulation, ip) is Removal.IN_PROGRESS
+    ip = primary_of(simulation) if removes_primary else others(simulation, primary_of(simulation), NEW)[0]
+    assert request_removal(simulation, ip) is Removal.IN_PROGRESS
     simulation.run_between_regions(3 * SECOND)
-    assert ask_removal(simulation, ip) is Removal.DONE
+    assert request_removal(simulation, ip) is Removal.DONE
     assert electorate(simulation) == copies(simulation) == set(others(simulation, ip))
     simulation.remove(ip)
     lose_for_good(simulation, primary_of(simulation))
     acknowledge(simulation)
 
 
-def test_a_removal_that_nobody_could_make_up_for_is_refused() -> None:
+def test_removal_without_a_spare_member_is_refused() -> None:
     """Without a spare member, a removal would leave the electorate with too few members."""
     simulation = started()
     for ip in simulation.machines:
-        outcome = ask_removal(simulation, ip)
+        outcome = request_removal(simulation, ip)
         assert isinstance(outcome, Failure)
         assert outcome.code is ResultCode.MEMBER_NEEDED
-    unknown = ask_removal(simulation, NEW)
+    unknown = request_removal(simulation, NEW)
     assert isinstance(unknown, Failure)
     assert unknown.code is ResultCode.MEMBER_UNKNOWN
     assert not any(member_of(simulation, ip).state.departure.has_begun for ip in simulation.machines)
 
 
-def test_one_spare_makes_up_for_one_removal_only() -> None:
+def test_one_spare_member_allows_one_removal_only() -> None:
     """Two removals at nearly the same time must not both count on the same spare member."""
     for first, second in ((1, 2), (2, 1)):
         simulation = started()
@@ -75,14 +75,14 @@
         simulation.run_between_regions(CATCH_UP_LIMIT_NS)
         ips = list(simulation.machines)
         assert primary_of(simulation) == ips[0]
-        assert ask_removal(simulation, ips[first]) is Removal.IN_PROGRESS
+        assert request_removal(simulation, ips[first]) is Removal.IN_PROGRESS
         simulation.run_between_regions(2 * LATENCY_NS)
-        outcome = ask_removal(simulation, ips[second])
+        outcome = request_removal(simulation, ips[second])
         assert isinstance(outcome, Failure)
         assert outcome.code is ResultCode.MEMBER_NEEDED
 
 
-def test_a_removal_is_for_the_primary() -> None:
+def test_backup_refuses_a_removal() -> None:
     """A backup answers a removal request with NOT_PRIMARY."""
     simulation = started()
     outcome = member_of(simulation, others(simulation, primary_of(simulation))[0]).removal(NEW, simulation.now)
@@ -90,7 +90,7 @@
     assert outcome.code is ResultCode.NOT_PRIMARY
 
 
-def test_a_removal_is_done_when_the_view_without_it_is_settled() -> None:
+def test_removal_is_done_once_the_reconfiguration_is_complete() -> None:
     """While a reconfiguration is open, the removed member may still vote, so the removal is not done yet."""
     view = View(Epoch(1, A), A, (A, C, D), (A, C, D), (A, B, C))
     for is_reconfiguration_complete, expected in ((False, Removal.IN_PROGRESS), (True, Removal.DONE)):
--- a/tests/replication/test_replication_catch_up.py
+++ b/tests/replication/test_replication_catch_up.py
@@ -22,7 +22,7 @@
     return Change(ChangeKind.PUT_CONFIGURATION, bytes(size))
 
 
-def following(log: ChangeLog) -> CatchUp:
+def catch_up_with_follower(log: ChangeLog) -> CatchUp:
     """Return a `CatchUp` with one member, which has stored the state with which the view began."""
     replica = Replica(apply_tag, EPOCH, ControlState(index=BEGAN_AT.index), BEGAN_AT.index)
     catch_up = CatchUp(
@@ -33,10 +33,10 @@
     return catch_up
 
 
-def test_a_member_that_confirms_in_time_is_close() -> None:
+def test_member_that_confirms_in_time_is_nearly_caught_up() -> None:
     """A member counts as nearly caught up as long as no change is unconfirmed for more than `MAX_JOIN_LAG_NS`."""
     log = ChangeLog(BEGAN_AT.index)
-    catch_up = following(log)
+    catch_up = catch_up_with_follower(log)
     assert catch_up.is_nearly_caught_up(MEMBER, 0)
     log.append(change(10), 0)
     [send] = catch_up.on_change(0)
@@ -47,10 +47,10 @@
     assert catch_up.nearly_caught_up_members(MAX_JOIN_LAG_NS + 1) == {MEMBER}
 
 
-def test_a_member_to_which_not_everything_was_sent_is_not_close() -> None:
+def test_member_with_unsent_changes_is_not_nearly_caught_up() -> None:
     """A member may lack changes that the window does not let through yet, however quickly it confirms the others."""
     log = ChangeLog(BEGAN_AT.index)
-    catch_up = following(log)
+    catch_up = catch_up_with_follower(log)
     for _ in range(2):
         log.append(change(MIN_WINDOW_BYTES), 0)
         catch_up.on_change(0)
@@ -59,10 +59,10 @@
     assert catch_up.is_nearly_caught_up(MEMBER, 0)
 
 
-def test_a_member_without_a_state_of_the_view_gets_one() -> None:
+def test_member_without_the_initial_state_gets_a_snapshot() -> None:
     """A member that has not stored the initial state of the view is sent a snapshot, and may not join before."""
     log = ChangeLog(BEGAN_AT.index)
-    catch_up = following(log)
+    catch_up = catch_up_with_follower(log)
     catch_up.set_members([], 0)
     catch_up.set_members([MEMBER], 0)
     [send] = catch_up.take_installed(MEMBER, Installed(EPOCH, stored=False), 0)
@@ -71,7 +71,7 @@
     assert not catch_up.is_nearly_caught_up(MEMBER, 0)
 
 
-def test_the_window_follows_what_the_link_bears() -> None:
+def test_window_grows_on_quick_and_shrinks_on_slow_confirmations() -> None:
     """On a slow link a large window would delay the heartbeats that share the connection."""
     log = ChangeLog(0)
     flow = ChangeFlow(log, 0)
@@ -90,7 +90,7 @@
     assert flow._window == MIN_WINDOW_BYTES
 
 
-def test_one_change_is_always_sent_and_no_more_than_the_window() -> None:
+def test_change_larger_than_the_window_is_sent_alone() -> None:
     """A change that is larger than the window must be sent alone, or the member would never get it."""
     log = ChangeLog(0)
     flow = ChangeFlow(log, 0)
--- a/tests/replication/test_replication_explorer.py
+++ b/tests/replication/test_replication_explorer.py
@@ -27,13 +27,13 @@
 
 
 @pytest.mark.parametrize("seed", range(WALKS))
-def test_three_machines(seed: int) -> None:
+def test_random_walk_of_three_machines(seed: int) -> None:
     """The invariants hold under random faults on three machines, of which one may be lost."""
     RandomWalk(seed).run(STEPS)
 
 
 @pytest.mark.parametrize("seed", range(WALKS // 4))
-def test_five_machines_of_which_two_may_be_lost(seed: int) -> None:
+def test_random_walk_of_five_machines_with_two_losses(seed: int) -> None:
     """The invariants hold under random faults on five machines, of which two may be lost."""
     RandomWalk(seed, machines=5, tolerated=2).run(STEPS)
 
@@ -41,12 +41,12 @@
 # --- planted faults -----------------------------------------------------------------------------------------------
 
 
-def reply_without_confirmation(self: Primary, call: int, now: int) -> list[Action]:
+def read_without_confirmation(self: Primary, call: int, now: int) -> list[Action]:
     """Answer a read without the confirmation of a quorum."""
     return [Reply(call, Committed(self._replica.state_at(self._committed)))]
 
 
-def commit_without_the_others(self: Primary, now: int) -> list[Action]:
+def commit_without_other_replicas(self: Primary, now: int) -> list[Action]:
     """Commit a change that only the primary itself has stored."""
     committed = self._progress[self.me].flow.index
     if committed <= self._committed:
@@ -55,51 +55,57 @@
     return self._answer() + self._publish() + self.new_round(now)
 
 
-def first_source(self: Candidate) -> MemberId | None:
+def source_of_first_promise(self: Candidate) -> MemberId | None:
     """Return the member that promised first, whether or not its state is the newest."""
     return next(iter(self._promises), None)
 
 
-def wipe_and_vote_as_before(self: ReplicationSimulation, ip: str) -> None:
+def wipe_but_keep_member_id(self: ReplicationSimulation, ip: str) -> None:
     """Wipe the disk of a machine but keep its member ID, so that the machine votes without its earlier promises."""
     self.crash(ip, keep_unsynced=False)
     self.machines[ip].durable = DurableState.genesis(genesis_view(self.seed_ips))
 
 
-def without(*messages: type) -> tuple[type, ...]:
+def after_sync_except(*messages: type) -> tuple[type, ...]:
     """Return `AFTER_SYNC` without the given message types, which are then sent before their state is durable."""
     return tuple(message for message in AFTER_SYNC if message not in messages)
 
 
-Plant = Callable[[], AbstractContextManager[object]]
-FOUND_BY_WALKS: dict[str, Plant] = {
-    "everything is told before its sync": lambda: mock.patch.object(durability, "AFTER_SYNC", ()),
-    "a change is confirmed before its sync": lambda: mock.patch.object(durability, "AFTER_SYNC", without(Appended)),
-    "a silent replica is skipped": lambda: mock.patch.object(Primary, "_commit", commit_without_the_others),
-    "the state is taken from any replica": lambda: mock.patch.object(Candidate, "_best_source", first_source),
+FaultPatch = Callable[[], AbstractContextManager[object]]
+FAULTS_DETECTED_BY_WALKS: dict[str, FaultPatch] = {
+    "all messages are sent before their sync": lambda: mock.patch.object(durability, "AFTER_SYNC", ()),
+    "a change is confirmed before its sync": lambda: mock.patch.object(
+        durability, "AFTER_SYNC", after_sync_except(Appended)
+    ),
+    "a change is committed without the other replicas": lambda: mock.patch.object(
+        Primary, "_commit", commit_without_other_replicas
+    ),
+    "the state is copied from any replica": lambda: mock.patch.object(
+        Candidate, "_best_source", source_of_first_promise
+    ),
 }
 
 
-@pytest.mark.parametrize("fault", FOUND_BY_WALKS)
-def test_walks_find_a_planted_fault(fault: str) -> None:
+@pytest.mark.parametrize("fault", FAULTS_DETECTED_BY_WALKS)
+def test_random_walks_detect_planted_fault(fault: str) -> None:
     """Random walks that pass with a planted fault would check nothing."""
-    with FOUND_BY_WALKS[fault](), pytest.raises(InvariantError):
+    with FAULTS_DETECTED_BY_WALKS[fault](), pytest.raises(InvariantError):
         for seed in range(200):
             RandomWalk(seed).run(STEPS)
 
 
-def test_a_thawed_primary_answers_no_old_state() -> None:
+def test_resumed_primary_answers_no_outdated_read() -> None:
     """A primary that was suspended while another machine took over must not answer a read from its outdated state."""
-    thawed_primary_is_read(ReplicationSimulation())
+    read_from_resumed_primary(ReplicationSimulation())
 
 
-def test_a_read_without_confirmation_is_found() -> None:
+def test_read_without_confirmation_is_detected() -> None:
     """The checks detect a read that a former primary answers from its outdated state."""
-    with mock.patch.object(Primary, "read", reply_without_confirmation), pytest.raises(InvariantError):
-        thawed_primary_is_read(ReplicationSimulation())
+    with mock.patch.object(Primary, "read", read_without_confirmation), pytest.raises(InvariantError):
+        read_from_resumed_primary(ReplicationSimulation())
 
 
-def thawed_primary_is_read(simulation: ReplicationSimulation) -> None:
+def read_from_resumed_primary(simulation: ReplicationSimulation) -> None:
     """Suspend the primary until another takes over, then send the old primary a read before its next tick."""
     simulation.run(20)
     old = simulation.primary()
@@ -113,24 +119,24 @@
     simulation.run(60)
 
 
-def test_a_wiped_machine_does_not_vote() -> None:
+def test_wiped_machine_does_not_vote() -> None:
     """A machine without its disk must not vote, because its earlier promises and changes are lost."""
-    wiped_machine_meets_one_left_behind(ReplicationSimulation())
+    wiped_machine_and_outdated_replica(ReplicationSimulation())
 
 
-def test_a_wiped_witness_that_votes_is_found() -> None:
+def test_wiped_witness_that_votes_is_detected() -> None:
     """The checks detect the loss of a change after a wiped machine voted under its old member ID."""
-    with mock.patch.object(ReplicationSimulation, "wipe", wipe_and_vote_as_before), pytest.raises(InvariantError):
-        wiped_machine_meets_one_left_behind(ReplicationSimulation())
+    with mock.patch.object(ReplicationSimulation, "wipe", wipe_but_keep_member_id), pytest.raises(InvariantError):
+        wiped_machine_and_outdated_replica(ReplicationSimulation())
 
 
-def wiped_machine_meets_one_left_behind(simulation: ReplicationSimulation) -> None:
+def wiped_machine_and_outdated_replica(simulation: ReplicationSimulation) -> None:
     """Of three machines, one missed a change, one is down and one was wiped: no primary may lead without the change."""
     simulation.run(20)
-    first, second, left_behind = simulation.machines
+    first, second, outdated = simulation.machines
     assert simulation.primary() == first
-    simulation.partition(first, left_behind)
-    simulation.partition(second, left_behind)
+    simulation.partition(first, outdated)
+    simulation.partition(second, outdated)
     simulation.run(30)
     acknowledge(simulation, simulation.submit)
     simulation.crash(second, keep_unsynced=False)
@@ -145,26 +151,26 @@
     simulation.recover()
 
 
-def test_a_promise_fences_the_primary_before() -> None:
+def test_promise_fences_the_previous_primary() -> None:
     """After a replica has promised to a candidate, the previous primary must not commit a change with that replica."""
     replica_promises_to_a_candidate(ReplicationSimulation())
 
 
-def test_a_lower_epoch_that_is_accepted_is_found() -> None:
+def test_accepted_lower_epoch_is_detected() -> None:
     """The checks detect a witness that accepts messages of a lower epoch than the one it promised."""
     with mock.patch.object(Witness, "refuses", lambda self, epoch: False), pytest.raises(InvariantError):
         replica_promises_to_a_candidate(ReplicationSimulation())
 
 
-def test_a_promise_survives_the_loss_of_power() -> None:
+def test_promise_survives_a_power_loss() -> None:
     """A replica that loses power after a promise must still refuse changes of the previous primary."""
     replica_promises_to_a_candidate(ReplicationSimulation(), loses_power=True)
 
 
-def test_a_promise_told_before_its_sync_is_found() -> None:
+def test_promise_sent_before_its_sync_is_detected() -> None:
     """The checks detect a promise that was sent before its sync and forgotten in a power loss."""
-    told_early = mock.patch.object(durability, "AFTER_SYNC", without(Promise, Fetched))
-    with told_early, pytest.raises(InvariantError):
+    sent_early = mock.patch.object(durability, "AFTER_SYNC", after_sync_except(Promise, Fetched))
+    with sent_early, pytest.raises(InvariantError):
         replica_promises_to_a_candidate(ReplicationSimulation(), loses_power=True)
 
 
@@ -185,7 +191,7 @@
     for _ in range(60):
         simulation.now += STEP_NS
         simulation.tick(candidate)
-        exchange(simulation, candidate, backup, sync_backup=not loses_power)
+        deliver_except_install(simulation, candidate, backup, sync_backup=not loses_power)
         if any(isinstance(packet.message, Install) for packet in simulation.packets):
             break
     if loses_power:
@@ -200,7 +206,7 @@
     simulation.recover()
 
 
-def exchange(simulation: ReplicationSimulation, candidate: str, backup: str, sync_backup: bool) -> None:
+def deliver_except_install(simulation: ReplicationSimulation, candidate: str, backup: str, sync_backup: bool) -> None:
     """Deliver the messages addressed to the candidate and the backup, except `Install`."""
     for _ in range(6):
         for packet in list(simulation.packets):
--- a/tests/replication/test_replication_interleavings.py
+++ b/tests/replication/test_replication_interleavings.py
@@ -17,11 +17,11 @@
 from tests.support.replication_simulation import STEP_NS, ReplicationSimulation, is_fully_replicated
 
 FULL = bool(os.environ.get("EXPLORER_FULL"))
-STRIDE = 1 if FULL else 29
+MOMENT_STRIDE = 1 if FULL else 29
 DEPTH = 4 if FULL else 3
 
 Scenario = Callable[[ReplicationSimulation], Iterator[None]]
-Trouble = Callable[[ReplicationSimulation], None]
+Fault = Callable[[ReplicationSimulation], None]
 
 
 def moments(simulation: ReplicationSimulation, steps: int) -> Iterator[None]:
@@ -33,7 +33,7 @@
             yield
         while (number := next_deliverable(simulation)) is not None or is_writing(simulation):
             if number is not None:
-                take(simulation, number)
+                deliver_nth(simulation, number)
                 yield
             else:
                 yield from sync_all(simulation)
@@ -106,64 +106,64 @@
 # --- the faults -------------------------------------------------------------------------------------------------
 
 
-def power_blinks(ip: str) -> Trouble:
+def power_cycles(ip: str) -> Fault:
     """Return a fault that cuts the power of a machine and restarts it at once; unsynced writes are lost."""
 
-    def trouble(simulation: ReplicationSimulation) -> None:
+    def fault(simulation: ReplicationSimulation) -> None:
         simulation.crash(ip, keep_unsynced=False)
         simulation.start(ip)
 
-    return trouble
+    return fault
 
 
-def process_blinks(ip: str) -> Trouble:
+def process_cycles(ip: str) -> Fault:
     """Return a fault that kills the process of a machine and restarts it at once; writes in progress are completed."""
 
-    def trouble(simulation: ReplicationSimulation) -> None:
+    def fault(simulation: ReplicationSimulation) -> None:
         simulation.crash(ip, keep_unsynced=True)
         simulation.start(ip)
 
-    return trouble
+    return fault
 
 
-def is_cut_off(ip: str) -> Trouble:
+def is_cut_off(ip: str) -> Fault:
     """Return a fault that partitions a machine from all others in both directions."""
 
-    def trouble(simulation: ReplicationSimulation) -> None:
+    def fault(simulation: ReplicationSimulation) -> None:
         for other in simulation.machines:
             simulation.partition(ip, other)
 
-    return trouble
+    return fault
 
 
-def says_nothing(ip: str) -> Trouble:
+def outgoing_link_is_cut(ip: str) -> Fault:
     """Return a fault that loses every message from a machine, while the machine still receives messages."""
 
-    def trouble(simulation: ReplicationSimulation) -> None:
+    def fault(simulation: ReplicationSimulation) -> None:
         for other in simulation.machines:
             simulation.partition(ip, other, both_ways=False)
 
-    return trouble
+    return fault
 
 
-def stands_still(ip: str) -> Trouble:
+def process_freezes_until_recovery(ip: str) -> Fault:
     """Return a fault that suspends the process of a machine until `recover`."""
     return lambda simulation: simulation.frozen.add(ip)
 
 
-def disk_fails(ip: str) -> Trouble:
+def disk_fails(ip: str) -> Fault:
     """Return a fault that marks the disk of a machine as unhealthy until `recover`."""
     return lambda simulation: simulation.set_healthy(ip, False)
 
 
-def disk_is_wiped(ip: str) -> Trouble:
+def disk_is_wiped(ip: str) -> Fault:
     """Return a fault that cuts the power of all machines and wipes the disk of one.
 
     The fault does nothing unless all other machines have stored the same view with every machine as a replica: only
     then may one disk be lost.
     """
 
-    def trouble(simulation: ReplicationSimulation) -> None:
+    def fault(simulation: ReplicationSimulation) -> None:
         if not is_fully_replicated(simulation, ip):
             return
         for machine in simulation.machines:
@@ -172,10 +172,10 @@
         for machine in simulation.machines:
             simulation.start(machine)
 
-    return trouble
+    return fault
 
 
-def all_power_blinks(simulation: ReplicationSimulation) -> None:
+def all_power_cycles(simulation: ReplicationSimulation) -> None:
     """Cut the power of all machines and restart each at once; unsynced writes are lost."""
     for ip in simulation.machines:
         simulation.crash(ip, keep_unsynced=False)
@@ -194,15 +194,23 @@
     simulation.packets += simulation.packets[:1]
 
 
-OF_ONE = (power_blinks, process_blinks, is_cut_off, says_nothing, stands_still, disk_fails, disk_is_wiped)
-OF_ALL = (all_power_blinks, next_message_is_lost, next_message_comes_late, next_message_comes_twice)
-TROUBLES: dict[str, Trouble] = {
-    **{f"{kind.__name__} {number}": kind(f"10.0.0.{number}") for kind in OF_ONE for number in (1, 2, 3)},
-    **{kind.__name__: kind for kind in OF_ALL},
+FAULTS_OF_ONE_MACHINE = (
+    power_cycles,
+    process_cycles,
+    is_cut_off,
+    outgoing_link_is_cut,
+    process_freezes_until_recovery,
+    disk_fails,
+    disk_is_wiped,
+)
+OTHER_FAULTS = (all_power_cycles, next_message_is_lost, next_message_comes_late, next_message_comes_twice)
+FAULTS: dict[str, Fault] = {
+    **{f"{kind.__name__} {number}": kind(f"10.0.0.{number}") for kind in FAULTS_OF_ONE_MACHINE for number in (1, 2, 3)},
+    **{kind.__name__: kind for kind in OTHER_FAULTS},
 }
 
 
-def begun() -> ReplicationSimulation:
+def simulation_with_primary() -> ReplicationSimulation:
     """Return a simulation that has elected its first primary."""
     simulation = ReplicationSimulation()
     simulation.run(14)
@@ -210,61 +218,61 @@
     return simulation
 
 
-def length_of(scenario: Scenario) -> int:
-    return sum(1 for _ in scenario(begun()))
+def count_moments(scenario: Scenario) -> int:
+    return sum(1 for _ in scenario(simulation_with_primary()))
 
 
-@pytest.mark.parametrize("name", TROUBLES)
+@pytest.mark.parametrize("name", FAULTS)
 @pytest.mark.parametrize("scenario", SCENARIOS)
-def test_trouble_at_every_moment(scenario: str, name: str) -> None:
+def test_cluster_recovers_from_a_fault_at_every_moment(scenario: str, name: str) -> None:
     """The cluster recovers, and loses no acknowledged change, when a fault occurs at any point of a scenario."""
-    moments_of_story = length_of(SCENARIOS[scenario])
-    first = sum(name.encode()) % STRIDE  # each fault is tested at different points of the scenario
-    for moment in range(first, moments_of_story, STRIDE):
-        simulation = begun()
-        telling = SCENARIOS[scenario](simulation)
-        for _ in islice(telling, moment + 1):
+    moment_count = count_moments(SCENARIOS[scenario])
+    first = sum(name.encode()) % MOMENT_STRIDE  # each fault is tested at different points, which depend on its name
+    for moment in range(first, moment_count, MOMENT_STRIDE):
+        simulation = simulation_with_primary()
+        run = SCENARIOS[scenario](simulation)
+        for _ in islice(run, moment + 1):
             pass
-        TROUBLES[name](simulation)
-        for _ in telling:
+        FAULTS[name](simulation)
+        for _ in run:
             pass
         simulation.recover()
 
 
-def test_every_order_around_a_change_of_the_primary() -> None:
+def test_cluster_recovers_in_every_order_of_events_around_a_failover() -> None:
     """The cluster recovers after every order of the next `DEPTH` events around a change of primary.
 
     A rival candidate has requested promises while a change from the primary is still in flight.
     """
-    tried = sum(1 for _ in orders(()))
+    tried = sum(1 for _ in explore_orders(()))
     assert tried > 3**DEPTH
 
 
-def orders(choices: tuple[int, ...]) -> Iterator[None]:
+def explore_orders(choices: tuple[int, ...]) -> Iterator[None]:
     """Replay the chosen events, extend them by every possible event up to `DEPTH`, and yield once per order."""
-    simulation = rivals()
+    simulation = simulation_with_rival()
     for choice in choices:
-        events(simulation)[choice]()
-    available = len(events(simulation))
+        possible_events(simulation)[choice]()
+    available = len(possible_events(simulation))
     if len(choices) < DEPTH and available:
         for choice in range(available):
-            yield from orders((*choices, choice))
+            yield from explore_orders((*choices, choice))
         return
     simulation.recover()
     yield
 
 
-def rivals() -> ReplicationSimulation:
+def simulation_with_rival() -> ReplicationSimulation:
     """Return a simulation with a change of the primary in flight and a rival candidate.
 
     The rival received no message from the primary for a while, and has requested promises.
     """
-    simulation = begun()
+    simulation = simulation_with_primary()
     primary = simulation.primary()
     assert primary is not None
     rival = next(ip for ip in simulation.machines if ip != primary)
     simulation.submit(primary)
-    waiting, simulation.packets = simulation.packets, []
+    held_packets, simulation.packets = simulation.packets, []
     for _ in range(60):
         simulation.now += STEP_NS
         simulation.tick(rival)
@@ -274,22 +282,22 @@
         if simulation.packets:
             break
     assert any(isinstance(packet.message, Prepare) for packet in simulation.packets)
-    assert any(isinstance(packet.message, Append) for packet in waiting)
-    simulation.packets += waiting
+    assert any(isinstance(packet.message, Append) for packet in held_packets)
+    simulation.packets += held_packets
     return simulation
 
 
-def events(simulation: ReplicationSimulation) -> list[Callable[[], None]]:
+def possible_events(simulation: ReplicationSimulation) -> list[Callable[[], None]]:
     """Return the events that can happen next: a message arrives, a write completes or a machine loses power."""
     possible: list[Callable[[], None]] = [
-        partial(take, simulation, number) for number in range(len(simulation.packets))
+        partial(deliver_nth, simulation, number) for number in range(len(simulation.packets))
     ]
     for ip, machine in simulation.machines.items():
         if machine.writing is not None:
             possible.append(partial(simulation.sync, ip))
-        possible.append(partial(power_blinks(ip), simulation))
+        possible.append(partial(power_cycles(ip), simulation))
     return possible
 
 
-def take(simulation: ReplicationSimulation, number: int) -> None:
+def deliver_nth(simulation: ReplicationSimulation, number: int) -> None:
     simulation.deliver(simulation.packets.pop(number))
--- a/tests/replication/test_view_planning.py
+++ b/tests/replication/test_view_planning.py
@@ -15,7 +15,7 @@
 A, B, C = (MemberId(f"10.0.0.{number}/0") for number in range(1, 4))
 
 
-def test_a_candidate_waits_a_little_for_those_that_stay() -> None:
+def test_candidate_waits_briefly_for_promises_of_staying_members() -> None:
     """A candidate that has the promise of a leaving member waits `answer_grace_ns` for the promise of a staying member.
 
     That promise may still be in flight, and a view without the leaving member is preferred.
--- a/tests/replication/test_view_rules.py
+++ b/tests/replication/test_view_rules.py
@@ -16,7 +16,7 @@
 
 
 def plan(
-    usable: Collection[MemberId], in_force: bool = True, gone: Collection[MemberId] = (), tolerated: int = 1
+    usable: Collection[MemberId], in_force: bool = True, replaceable: Collection[MemberId] = (), tolerated: int = 1
 ) -> View | None:
     return plan_view(
         BASE,
@@ -24,12 +24,12 @@
         epoch=NEXT,
         primary=A,
         usable=tuple(usable),
-        is_replaceable=lambda member: member in gone,
+        is_replaceable=lambda member: member in replaceable,
         tolerated_machines=tolerated,
     )
 
 
-def test_a_silent_replica_is_left_out_but_stays_a_witness() -> None:
+def test_unusable_replica_is_left_out_but_stays_a_witness() -> None:
     """An unusable member leaves the replicas of the next view, but keeps its vote as a witness."""
     assert plan((A, B)) == View(NEXT, A, (A, B), (A, B, C), (A, B, C))
 
@@ -39,23 +39,23 @@
     assert plan((A,)) is None
 
 
-def test_a_wiped_machine_takes_its_own_place() -> None:
+def test_new_member_of_a_wiped_machine_replaces_the_old_one() -> None:
     """The new member at the address of a wiped machine replaces the old member at once."""
     planned = plan((A, B, C_WIPED))
     assert planned == View(NEXT, A, (A, B, C_WIPED), (A, B, C_WIPED), (A, B, C))
 
 
-def test_another_machine_takes_the_place_of_one_that_is_gone_only() -> None:
+def test_other_machine_replaces_only_a_replaceable_witness() -> None:
     """A member at another address replaces a witness only when that witness is replaceable."""
     patient = plan((A, B, D))
     assert patient is not None
     assert patient.witnesses == (A, B, C)
-    replaced = plan((A, B, D), gone=(C,))
+    replaced = plan((A, B, D), replaceable=(C,))
     assert replaced is not None
     assert replaced.witnesses == (A, B, D)
 
 
-def test_witnesses_stay_as_they_are_on_a_view_that_may_not_be_in_force() -> None:
+def test_witnesses_are_kept_on_a_view_that_may_not_be_in_force() -> None:
     """With two open changes of the electorate, disjoint majorities could decide on different views."""
     unsettled = View(Epoch(4, A), A, (A, B, D), (A, B, D), (A, B, C))
     planned = plan_view(
@@ -72,7 +72,7 @@
     assert planned.previous_witnesses == unsettled.previous_witnesses
 
 
-def test_growth_is_by_pairs() -> None:
+def test_electorate_grows_by_pairs() -> None:
     """The electorate grows by two members at a time, so that an odd size stays odd."""
     assert plan_witnesses((A, B, C), (A, B, C, D), lambda _: False, 5) == (A, B, C)
     assert plan_witnesses((A, B, C), (A, B, C, D, E), lambda _: False, 5) == (A, B, C, D, E)
@@ -94,12 +94,12 @@
     assert not view.has_quorum((A, B, C), in_force=True)
 
 
-def test_genesis_is_the_same_in_any_order_of_the_seeds() -> None:
+def test_genesis_view_is_independent_of_the_seed_order() -> None:
     """Members with the same seeds in a different order must start from the same genesis view."""
     assert genesis_view(("10.0.0.2", "10.0.0.1")) == genesis_view(("10.0.0.1", "10.0.0.2"))
 
 
-def test_surplus_is_dropped_by_pairs_first_what_is_not_usable() -> None:
+def test_surplus_witnesses_are_dropped_by_pairs_unusable_first() -> None:
     """Surplus witnesses are dropped two at a time, unusable ones first; a single surplus witness stays."""
     assert plan_witnesses((A, B, C, D, E), (C, A, B, D), lambda _: False, 3) == (A, B, C)
     assert plan_witnesses((A, B, C, D), (A, B, C, D), lambda _: False, 3) == (A, B, C, D)
