--- a/tests/replication/test_change_histories.py
+++ b/tests/replication/test_change_histories.py
@@ -254,7 +254,7 @@
     assert (await call_until_answered(simulation, "a", end_evacuation("z1"), successor.ip)).status == 200
     again = asyncio.create_task(simulation.call("a", old.ip, evacuate("z1")))
     await asyncio.sleep(0.1)
-    simulation.latency = (0.1, 0.12)  # keeps the members' refusals of the old epoch from arriving earlier
+    simulation.latency = (0.1, 0.12)  # delays the messages that refuse the old primary's epoch
     old.thaw(("call", "message", "tick"), messages_after_s=0.03)
     await again
 
@@ -352,7 +352,7 @@
 @pytest.mark.parametrize("scenario", [delayed_copy_of_evacuation, delayed_copy_of_evacuation_end])
 @pytest.mark.parametrize("faults", [Faults(needs_caller=False), Faults(knows_connections=False)])
 def test_either_fence_alone_rejects_delayed_copy_of_closed_connection(scenario: Scenario, faults: Faults) -> None:
-    """A delayed copy is rejected since its connection has ended, or since that connection is too old."""
+    """Either check alone, for an ended connection or for an old one, rejects the delayed copy of a request."""
     run_scenario(scenario, faults)
 
 
--- a/tests/replication/test_join_interleavings.py
+++ b/tests/replication/test_join_interleavings.py
@@ -88,7 +88,7 @@
 
 
 def test_join_survives_one_loss_in_every_order_of_events() -> None:
-    """The cluster recovers after every order of the next `DEPTH` events before a view change.
+    """The cluster recovers after every order of the first `DEPTH` events of a view change.
 
     At most one of the events is a power loss, at any position.
     """
--- a/tests/replication/test_replication_catch_up.py
+++ b/tests/replication/test_replication_catch_up.py
@@ -48,7 +48,7 @@
 
 
 def test_member_with_unsent_changes_is_not_nearly_caught_up() -> None:
-    """A member may lack changes that the window does not let through yet, however quickly it confirms the others."""
+    """A member may lack changes that the window does not let through yet, even if all sent ones are confirmed."""
     log = ChangeLog(BEGAN_AT.index)
     catch_up = catch_up_with_follower(log)
     for _ in range(2):
--- a/tests/replication/test_replication_explorer.py
+++ b/tests/replication/test_replication_explorer.py
@@ -157,7 +157,7 @@
 
 
 def test_accepted_lower_epoch_is_detected() -> None:
-    """The checks detect a witness that accepts messages of a lower epoch than the one it promised."""
+    """The checks detect a witness that accepts messages of an epoch lower than the promised one."""
     with mock.patch.object(Witness, "refuses", lambda self, epoch: False), pytest.raises(InvariantError):
         replica_promises_to_a_candidate(ReplicationSimulation())
 
--- a/tests/replication/test_replication_interleavings.py
+++ b/tests/replication/test_replication_interleavings.py
@@ -107,7 +107,7 @@
 
 
 def power_cycles(ip: str) -> Fault:
-    """Return a fault that cuts the power of a machine and restarts it at once; unsynced writes are lost."""
+    """Return a fault that cuts the power of a machine and restarts the machine; unsynced writes are lost."""
 
     def fault(simulation: ReplicationSimulation) -> None:
         simulation.crash(ip, keep_unsynced=False)
@@ -117,7 +117,7 @@
 
 
 def process_cycles(ip: str) -> Fault:
-    """Return a fault that kills the process of a machine and restarts it at once; writes in progress are completed."""
+    """Return a fault that kills and restarts the process of a machine; writes in progress are completed."""
 
     def fault(simulation: ReplicationSimulation) -> None:
         simulation.crash(ip, keep_unsynced=True)
@@ -176,7 +176,7 @@
 
 
 def all_power_cycles(simulation: ReplicationSimulation) -> None:
-    """Cut the power of all machines and restart each at once; unsynced writes are lost."""
+    """Cut the power of all machines and restart all machines; unsynced writes are lost."""
     for ip in simulation.machines:
         simulation.crash(ip, keep_unsynced=False)
         simulation.start(ip)
