--- a/tests/replication/test_join_interleavings.py
+++ b/tests/replication/test_join_interleavings.py
@@ -16,7 +16,7 @@
 from canvasbeam.errors import Failure, ResultCode
 from canvasbeam.replication.control_state import Change, ControlState
 from canvasbeam.replication.messages import Prepare
-from tests.replication.test_replication_interleavings import deliver_nth, moments, simulation_with_primary
+from tests.replication.test_replication_interleavings import deliver_nth, run_event_by_event, simulation_with_primary
 from tests.support import replication_simulation
 from tests.support.replication_simulation import ANY_VERSION, STEP_NS, InvariantError, ReplicationSimulation, apply_tag
 
@@ -62,9 +62,9 @@
     gone = next(ip for ip in simulation.machines if ip != primary)
     simulation.remove(gone)
     simulation.add(NEW_IP, tuple(simulation.machines))
-    yield from moments(simulation, JOIN_STEPS)
+    yield from run_event_by_event(simulation, JOIN_STEPS)
     simulation.submit(simulation.primary() or primary)
-    yield from moments(simulation, 3)
+    yield from run_event_by_event(simulation, 3)
 
 
 @pytest.mark.parametrize("loss", LOSSES)
@@ -159,17 +159,17 @@
     assert primary is not None
     tag = simulation.submit(primary, if_match=0)
     others = [ip for ip in simulation.machines if ip != primary]
-    for _ in islice(moments(simulation, 2), failover):
+    for _ in islice(run_event_by_event(simulation, 2), failover):
         pass
     simulation.crash(primary, keep_unsynced=False)
-    after_failover = moments(simulation, FAILOVER_STEPS)
+    after_failover = run_event_by_event(simulation, FAILOVER_STEPS)
     elapsed = sum(1 for _ in islice(after_failover, resend))
     simulation.submit(others[target], tag, if_match=0)
     for _ in after_failover:
         pass
     for ip in simulation.machines:
         simulation.submit(ip, tag, if_match=0)
-    for _ in moments(simulation, 3):
+    for _ in run_event_by_event(simulation, 3):
         pass
     simulation.recover()
     return elapsed == resend
@@ -191,7 +191,7 @@
     primary = simulation.primary()
     assert primary is not None
     simulation.submit(primary, if_match=0)
-    yield from moments(simulation, 2)
+    yield from run_event_by_event(simulation, 2)
 
 
 def apply_without_duplicate_detection(state: ControlState, change: Change) -> ControlState | Failure:
--- a/tests/replication/test_replication_interleavings.py
+++ b/tests/replication/test_replication_interleavings.py
@@ -24,7 +24,7 @@
 Fault = Callable[[ReplicationSimulation], None]
 
 
-def moments(simulation: ReplicationSimulation, steps: int) -> Iterator[None]:
+def run_event_by_event(simulation: ReplicationSimulation, steps: int) -> Iterator[None]:
     """Run `steps` time steps of `STEP_NS`, and yield after each tick, delivery and write: a fault may occur there."""
     for _ in range(steps):
         simulation.now += STEP_NS
@@ -66,10 +66,10 @@
     assert primary is not None
     tag = simulation.submit(primary, if_match=0)
     simulation.submit(primary, if_match=0)
-    yield from moments(simulation, 3)
+    yield from run_event_by_event(simulation, 3)
     simulation.submit(simulation.primary() or primary, tag, if_match=0)
     simulation.read(simulation.primary() or primary)
-    yield from moments(simulation, 4)
+    yield from run_event_by_event(simulation, 4)
 
 
 def primary_is_lost(simulation: ReplicationSimulation) -> Iterator[None]:
@@ -79,10 +79,10 @@
     tag = simulation.submit(primary)
     simulation.deliver(simulation.packets.pop(0))
     simulation.crash(primary, keep_unsynced=False)
-    yield from moments(simulation, 26)
+    yield from run_event_by_event(simulation, 26)
     for ip in simulation.machines:
         simulation.submit(ip, tag)
-    yield from moments(simulation, 4)
+    yield from run_event_by_event(simulation, 4)
 
 
 def disk_is_lost(simulation: ReplicationSimulation) -> Iterator[None]:
@@ -92,12 +92,12 @@
     simulation.submit(primary)
     simulation.settle()
     simulation.wipe(next(ip for ip in simulation.machines if ip != primary))
-    yield from moments(simulation, 14)
+    yield from run_event_by_event(simulation, 14)
     for ip in simulation.machines:
         simulation.start(ip)
-    yield from moments(simulation, 14)
+    yield from run_event_by_event(simulation, 14)
     simulation.submit(simulation.primary() or primary)
-    yield from moments(simulation, 3)
+    yield from run_event_by_event(simulation, 3)
 
 
 SCENARIOS: dict[str, Scenario] = {each.__name__: each for each in (two_writes_race, primary_is_lost, disk_is_lost)}
--- a/tests/support/membership_simulation.py
+++ b/tests/support/membership_simulation.py
@@ -7,7 +7,7 @@
 from canvasbeam.replication.member import Member
 from canvasbeam.replication.roles import Role
 from canvasbeam.replication.views import View, member_ip
-from tests.replication.test_replication_interleavings import moments
+from tests.replication.test_replication_interleavings import run_event_by_event
 from tests.support.replication_simulation import STEP_NS, SYNC_TIME_NS, InvariantError, ReplicationSimulation
 
 SECOND = 1_000_000_000
@@ -120,4 +120,4 @@
 
 def every_event(simulation: ReplicationSimulation, duration: int) -> Iterator[None]:
     """Time passes in order; there is a moment after each single event."""
-    yield from moments(simulation, duration // STEP_NS)
+    yield from run_event_by_event(simulation, duration // STEP_NS)
