--- a/tests/leases/test_contact_cuts.py
+++ b/tests/leases/test_contact_cuts.py
@@ -1,4 +1,4 @@
-"""Cuts, stalls and pauses in a simulated network: who is in contact, and when a change is in force everywhere."""
+"""Contact leases and delivery of changes in a simulated network with cut or stalled links and paused processes."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from tests.support.cluster_network import MS, SECOND, Host, Network
 
 STALE = 1_200 * MS
-IN_FORCE = 3 * SECOND  # what an operator is promised, from the acknowledgement on
-LEFT_WITHIN = 1_600 * MS  # a parent out of contact, the newest configuration included
+IN_FORCE = 3 * SECOND  # documented time from the acknowledgement of a change until it is in force on all nodes
+LEFT_WITHIN = 1_600 * MS  # children leave a parent out of contact and hold the newest configuration within this time
 SEEDS = range(1, 5)
 
 
@@ -43,7 +43,7 @@
     return [child for child in network.running() if child.core.distribution.link.is_parent(host.address)]
 
 
-# --- calm -----------------------------------------------------------------------------------------
+# --- without faults -------------------------------------------------------------------------------
 
 
 def test_in_calm_the_ages_stay_well_below_what_a_heartbeat_is_acknowledged_within() -> None:
@@ -55,7 +55,7 @@
 
 
 def test_ways_of_55_ms_among_control_nodes_leave_room() -> None:
-    """A heartbeat is acknowledged while the contact instant is within 600 ms."""
+    """With one-way delays of 55 ms, the contact age stays below the 600 ms above which no heartbeat is acknowledged."""
     network, controls, _ = fleet()
     for control in controls:
         network.choke(control, 10 * MS)
@@ -81,7 +81,7 @@
         assert all(age(network, edge) <= 700 * MS for edge in edges)
 
 
-# --- cuts of one control node ---------------------------------------------------------------------
+# --- one control node is cut off ------------------------------------------------------------------
 
 MUTE, DEAF = "its messages are lost", "others' messages are lost"
 MUTE_STALL, DEAF_STALL = "its messages are stalled", "others' messages are stalled"
@@ -89,7 +89,11 @@
 
 
 def cut_one_way(network: Network, host: Host, direction: str, others: list[Host]) -> None:
-    """Lost, connections end some time after; stalled, they stand, and the other direction goes on."""
+    """Cut or stall one direction between `host` and `others`.
+
+    A cut loses messages, and the connections end some time later. A stall only holds messages back: the connections
+    stay open and the other direction works.
+    """
     match direction:
         case "its messages are lost":
             network.cut([host], others)
@@ -116,7 +120,10 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("direction", ONE_WAY)
 def test_its_children_leave_it_and_have_what_was_acknowledged_since(direction: str, seed: int) -> None:
-    """Only the links among control nodes are cut: its children hear it all the time."""
+    """Children must leave a parent that is out of contact although they still receive its messages.
+
+    Only the links between control nodes are cut.
+    """
     network, controls, _ = fleet(seed=seed)
     assert children_of(network, controls[0])
     cut_one_way(network, controls[0], direction, controls[1:])
@@ -208,7 +215,7 @@
     assert any(monitoring.is_unresponsive(control.member.key) for control in controls[1:])
 
 
-# --- stalled directions ---------------------------------------------------------------------------
+# --- stalled links --------------------------------------------------------------------------------
 
 
 def test_keepalives_that_were_held_on_the_way_are_as_old_as_they_are() -> None:
@@ -218,7 +225,7 @@
     network.stall(controls, [child])
     network.run(SECOND)
     held_until = network.now
-    network.lose_message = lambda source, target, message: target == child.address  # nothing newer comes
+    network.lose_message = lambda source, target, message: target == child.address  # the child receives nothing newer
     network.run(2 * SECOND)
     assert not is_in_contact(network, child)
     network.lose_message = lambda source, target, message: False
@@ -249,13 +256,13 @@
     assert not is_in_contact(network, controls[0])
 
 
-# --- pauses ---------------------------------------------------------------------------------------
+# --- paused processes -----------------------------------------------------------------------------
 
 
 def test_a_control_node_that_stood_still_has_no_contact_until_a_new_round_is_granted() -> None:
     network, controls, _ = fleet()
     contact = controls[0].core.distribution.lease
-    network.run_until(lambda: bool(contact._requests), 300 * MS)  # its grants wait for the thawed process
+    network.run_until(lambda: bool(contact._requests), 300 * MS)  # the grants arrive during the freeze
     network.freeze(controls[0], 4 * SECOND)
     frozen_at = network.now
     network.run(4 * SECOND + MS)
@@ -297,7 +304,7 @@
     assert network.have(network.running(), item)
 
 
-# --- starts into a cut ----------------------------------------------------------------------------
+# --- starts during a cut --------------------------------------------------------------------------
 
 
 def test_an_edge_restarted_into_the_cut_finds_the_majority() -> None:
@@ -348,7 +355,10 @@
 
 
 def test_contact_is_with_the_witnesses_of_the_view_where_one_is_known() -> None:
-    """Most of the control nodes do not help where most of the witnesses are on the other side."""
+    """A majority of the control nodes must not suffice where a majority of the witnesses is on the other side of a cut.
+
+    Two of the three witnesses are on one side, three of the five control nodes on the other.
+    """
     network, controls, _ = fleet(regions=5, edges=10)
     set_electorates(network, controls, controls[:3])
     network.cut_both_ways(controls[:2], controls[2:])
@@ -439,12 +449,16 @@
     assert reported[-1] == ControlVersions(configuration=4)
 
 
-# --- candidates that were given up before ---------------------------------------------------------
+# --- parent candidates that failed before ---------------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", range(1, 25))
 def test_control_nodes_that_were_given_up_are_asked_again_where_nobody_else_is_left(seed: int) -> None:
-    """The edge was cut off from everybody for a while; its control node is deaf right after that."""
+    """An edge must try parent candidates that failed before again when no other candidate is left.
+
+    The edge is cut off from all nodes for 2 s; right after it has found a parent again, that parent receives nothing
+    from the other control nodes.
+    """
     network, controls, edges = fleet(seed=seed)
     edge = edges[0]
     network.cut_both_ways([edge], others_than(network, edge))
--- a/tests/leases/test_contact_faults.py
+++ b/tests/leases/test_contact_faults.py
@@ -1,4 +1,4 @@
-"""Faults that are planted in the contact of nodes: each must fail the test that is named beside it."""
+"""Faults planted in the contact lease and its users: each must make the test listed beside it in `FAULTS` fail."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def contact_from_what_is_heard(patch: pytest.MonkeyPatch) -> None:
-    """A node that hears most control nodes takes itself for in contact."""
+    """Move the contact instant when messages arrive from most control nodes, without a granted request."""
     receive = Distribution.receive
 
     def broken(self: Distribution, now: int, sender: Address, message: Message) -> None:
@@ -42,7 +42,7 @@
 
 
 def lease_counted_from_receipt(patch: pytest.MonkeyPatch) -> None:
-    """A grant is worth as much when it comes as when its request was sent."""
+    """Count the lease from the receipt of a grant instead of from the sending of its request."""
     on_grant = Distribution._on_lease_grant
 
     def broken(self: Distribution, now: int, sender: Address, message: LeaseGrant) -> None:
@@ -55,28 +55,28 @@
 
 
 def keepalive_counted_from_receipt(patch: pytest.MonkeyPatch) -> None:
-    """A keepalive is taken as sent when it comes."""
+    """Take the time of receipt of a keepalive as its sending time."""
     patch.setattr(PeerClocks, "sent_at", lambda self, now, address, time: now)
 
 
 def versions_not_compared(patch: pytest.MonkeyPatch) -> None:
-    """A node is in contact whatever it holds."""
+    """Move the contact instant without comparing the versions that this node holds with those of the granters."""
     patch.setattr(ControlVersions, "covers", lambda self, other: True)
 
 
 def one_electorate_of_two(patch: pytest.MonkeyPatch) -> None:
-    """Only the witnesses of the newest view must grant, also before its change is settled."""
+    """Require grants of the witnesses of the newest view only, even before the change of the view is settled."""
     set_electorates = ContactLease.set_electorates
     patch.setattr(ContactLease, "set_electorates", lambda self, each: set_electorates(self, list(each)[:1]))
 
 
 def electorate_ignored(patch: pytest.MonkeyPatch) -> None:
-    """Contact is with most of the control nodes that are known, whoever the witnesses are."""
+    """Require a majority of all known control nodes instead of a majority of the witnesses."""
     patch.setattr(Distribution, "set_electorates", lambda self, now, electorates: None)
 
 
 def any_round_confirms_a_write(patch: pytest.MonkeyPatch) -> None:
-    """A write counts as done once any later request is granted."""
+    """Count a write as done once a majority has granted any later request."""
     patch.setattr(
         ContactLease,
         "is_written",
@@ -85,12 +85,12 @@
 
 
 def stale_parent_is_kept(patch: pytest.MonkeyPatch) -> None:
-    """A parent out of contact is no worse than others."""
+    """Treat a parent that is out of contact like any other parent."""
     patch.setattr(ParentLink, "_is_stale", lambda self, now: False)
 
 
 def write_granted_without_holding(patch: pytest.MonkeyPatch) -> None:
-    """A control node grants a write before it holds the items."""
+    """Grant a write before the granting control node holds the items of the write."""
 
     def broken(self: Distribution, now: int, sender: Address, message: LeaseRequest) -> None:
         self._outbox.send((sender,), LeaseGrant(message.number, ControlVersions.of(self.table)))
@@ -99,23 +99,23 @@
 
 
 def write_sent_once(patch: pytest.MonkeyPatch) -> None:
-    """A write that was lost on the way is not sent again."""
+    """Never send a write again whose first messages were lost."""
     patch.setattr(ContactLease, "missing_writes", lambda self, peer: [])
 
 
 def death_called_without_contact(patch: pytest.MonkeyPatch) -> None:
-    """Any node that hears something calls others dead."""
+    """Let a node declare members dead without being in contact with most of the control nodes."""
     tick = Monitoring.tick
     patch.setattr(Monitoring, "tick", lambda self, now, has_majority: tick(self, now, True))
 
 
 def lost_push_waits_for_the_scrub(patch: pytest.MonkeyPatch) -> None:
-    """Nobody asks for what a keepalive or a grant names."""
+    """Request no newer versions after a keepalive or a grant has named them."""
     patch.setattr(reconcile, "request_newer", lambda table, versions: ())
 
 
 def end_of_a_worker_by_the_lease(patch: pytest.MonkeyPatch) -> None:
-    """The end of a worker is acknowledged on a lease from before."""
+    """Acknowledge the end of a worker on an earlier lease, without a majority that holds the end."""
 
     async def broken(self: RegistryService, worker_id: str, document: dict[str, str]) -> Answer:
         return self._acknowledge(document, self._node.has_recent_contact(RECENT_CONTACT_NS))
@@ -124,7 +124,7 @@
 
 
 def pause_leaves_the_directory(patch: pytest.MonkeyPatch) -> None:
-    """A node that has just gone on directs callers as before."""
+    """Let a directory serve callers right after a pause, before another node has answered a message of this node."""
     patch.setattr(NodeCore, "has_recent_exchange", lambda self, now: True)
 
 
--- a/tests/leases/test_contact_lease.py
+++ b/tests/leases/test_contact_lease.py
@@ -1,4 +1,4 @@
-"""The lease of a control node, and what its children have of it: pure, with the times given by the test."""
+"""Contact leases of control nodes, relayed leases of their children, and clocks of peers, at times set by the test."""
 
 from __future__ import annotations
 
@@ -170,7 +170,7 @@
     assert contact_state(instant, now, LEASE) is state
 
 
-# --- the contact of a child -----------------------------------------------------------------------
+# --- the relayed lease of a child -----------------------------------------------------------------
 
 
 def test_a_child_is_in_contact_once_it_holds_what_the_parent_vouched_for() -> None:
@@ -202,11 +202,11 @@
 
 
 def test_a_message_is_never_taken_for_younger_than_it_is() -> None:
-    """Whatever the two ways take, the time that is worked out is not after the sending."""
+    """The estimated sending time must not be later than the true one, whatever the delays of request and answer."""
     for out in (0, 5, 400):
         for back in (0, 5, 400):
             clocks = PeerClocks(0)
-            asked, answered = 100, 100 + out  # the parent's clock is ahead by 7,000
+            asked, answered = 100, 100 + out  # the parent's clock is 7,000 ns ahead
             clocks.learn(answered + back, PARENT, SendTime(1, answered + 7_000, requested_at=asked))
             for sent in (answered, answered + 250, answered + 5_000):
                 worked_out = clocks.sent_at(sent + back, PARENT, SendTime(1, sent + 7_000))
--- a/tests/leases/test_contact_walks.py
+++ b/tests/leases/test_contact_walks.py
@@ -1,7 +1,7 @@
-"""Random walks through cuts, stalls, pauses, slow links and restarts: what contact promises holds at every step.
+"""Random walks through cut, stalled and slow links, pauses and restarts, which check the contact lease at every step.
 
-Who has a contact instant holds every configuration that a majority of the control nodes held at that instant. Each
-machine has a monotonic clock of its own.
+Invariant: a node with a contact instant holds every configuration that a majority of the control nodes held at that
+instant. Each machine has a monotonic clock of its own.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass
 class History:
-    """Since when a majority of the control nodes holds which configuration."""
+    """Records the time from which a majority of the control nodes holds each configuration."""
 
     network: Network
     holders: dict[int, set[str]] = field(default_factory=dict)
@@ -35,7 +35,7 @@
     versions: list[int] = field(default_factory=list)
 
     def watch(self, control: Host) -> None:
-        """Note what this control node adopts."""
+        """Record each configuration that this control node adopts."""
 
         def note(items: Sequence[Item]) -> None:
             for item in items:
@@ -45,7 +45,7 @@
         control.core.table.add_listener(note)
 
     def majority_at(self, time: int) -> int:
-        """The newest configuration that a majority held then."""
+        """Return the newest configuration that a majority of the control nodes held at `time`; 0 if there is none."""
         count = bisect_right(self.times, time)
         return max(self.versions[:count], default=0)
 
@@ -59,7 +59,7 @@
 
 
 class Walk:
-    """One network and its history; `check` is the invariant."""
+    """A simulated network with its history of configurations; `check` asserts the invariant on every node."""
 
     def __init__(self, seed: int) -> None:
         self.network = Network(seed=seed, datagram_loss=0.02)
@@ -93,7 +93,7 @@
         self.published += 1
         self.network.publish(host, self.published, size=100)
 
-    # --- trouble --------------------------------------------------------------------------------
+    # --- faults ---------------------------------------------------------------------------------
 
     def cut(self, one: Host, other: Host) -> None:
         self.network.cut([one], [other])
@@ -153,7 +153,7 @@
 
 
 def walk_through(seed: int, steps: Steps) -> None:
-    """Go through these troubles, with a change after each; at the end all is well and all agree."""
+    """Inject each fault and publish a change after it; then end all faults and check that all nodes agree."""
     walk = Walk(seed)
     for trouble, one, other, publisher, span in steps:
         trouble(walk, walk.hosts[one], walk.hosts[other])
@@ -167,7 +167,7 @@
 
 
 def many_walks(count: int) -> Callable[[], None]:
-    """The same walks each time."""
+    """Return a function that runs `count` random walks, the same walks at each run."""
     walks = given(seed=st.integers(0, 1 << 16), steps=STEPS)(walk_through)
     return settings(max_examples=count, deadline=None, derandomize=True, phases=[Phase.generate])(walks)
 
--- a/tests/replication/test_replication_long_lives.py
+++ b/tests/replication/test_replication_long_lives.py
@@ -1,4 +1,4 @@
-"""A view that lives long: what a primary keeps is bounded, and what a replica still needs is kept."""
+"""Long-lived views: the primary keeps a bounded amount of changes, and keeps each change that a replica still needs."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 
 def test_a_trimmed_change_that_is_still_needed_is_found() -> None:
-    """Planted: the primary forgets each change as soon as its own disk has it."""
+    """Planted fault: the primary trims each change from its log as soon as its own disk has stored the change."""
     original = Primary._commit
 
     def commit(self: Primary, now: int) -> list[Action]:
@@ -87,7 +87,7 @@
 
 
 def a_replica_misses_changes(simulation: ReplicationSimulation) -> None:
-    """The link to one replica loses some changes; it stays in the view and is sent them again."""
+    """Lose changes on the link to one replica; the replica must stay in the view and receive the changes later."""
     primary = primary_of(simulation)
     view = primary_part(simulation).view
     backup = next(ip for ip in simulation.machines if ip != primary)
@@ -101,11 +101,11 @@
     assert primary_part(simulation).view == view
 
 
-# --- the bound on what is kept for members that are to join -------------------------------------------------------
+# --- the bound on changes kept for members that are catching up ---------------------------------------------------
 
 
 class DeafWorld(ReplicationSimulation):
-    """Changes do not reach one machine; everything else does."""
+    """Drops `Append` messages to the machine `deaf` and delivers all other messages."""
 
     deaf = ""
 
@@ -131,7 +131,7 @@
         simulation.run(1)
         change_many(simulation, 5)
         most = max(most, primary._log.size)
-    assert primary is primary_part(simulation)  # the one that is late held nobody up
+    assert primary is primary_part(simulation)  # the late member caused no change of the view
     assert MAX_CATCH_UP_BYTES // 2 < most <= MAX_CATCH_UP_BYTES + simulation.change_bytes
     simulation.deaf = ""
     simulation.run(60)
@@ -140,7 +140,7 @@
     simulation.recover()
 
 
-# --- the bound on what is in flight -------------------------------------------------------------------------------
+# --- the bound on bytes in flight ---------------------------------------------------------------------------------
 
 
 def large_change(number: int) -> Change:
--- a/tests/replication/test_replication_membership.py
+++ b/tests/replication/test_replication_membership.py
@@ -1,9 +1,9 @@
-"""Members that leave, are replaced and are lost, as closely one after the other as the pages allow.
+"""Members that leave, are replaced or are lost, in as close a succession as the documentation allows.
 
-A machine counts as lost until `CATCH_UP_LIMIT_NS` after its return, and a removed one until its successor has had that
-time; while no more are lost than are tolerated, the rest acknowledges changes within `RECOVERY_LIMIT_NS`, and nothing
-acknowledged is missing (`replication_simulation` checks that at each answer). `EXPLORER_WALKS` sets the number of
-random walks.
+A machine counts as lost until `CATCH_UP_LIMIT_NS` after its return, and a removed machine until its successor has run
+for that time. While at most the tolerated number of machines is lost, the other machines acknowledge changes within
+`RECOVERY_LIMIT_NS`, and no acknowledged change is missing (`replication_simulation` checks that at each answer). The
+environment variable `EXPLORER_WALKS` sets the number of random walks.
 """
 
 from __future__ import annotations
@@ -64,15 +64,15 @@
 )
 
 WALKS = int(os.environ.get("EXPLORER_WALKS", "40"))
-E = MemberId("10.0.0.5/0")  # a member that nobody knows
+E = MemberId("10.0.0.5/0")  # a member that no other member knows
 NEW = "10.0.0.9"
 PARTED_STEPS = 60
-FIRST = "10.0.0.1"  # the first primary
-OLD = "10.0.0.2"  # the one that is replaced in `planned_replacement`
+FIRST = "10.0.0.1"  # IP address of the first primary
+OLD = "10.0.0.2"  # IP address of the member that `planned_replacement` replaces by default
 SIZES = [(3, 1), (5, 2)]
 
 
-# --- leaving ------------------------------------------------------------------------------------------------------
+# --- leaving -------------------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(("machines", "tolerated"), SIZES)
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize(("machines", "tolerated"), SIZES)
 def test_how_long_a_member_waits_to_be_let_go(machines: int, tolerated: int) -> None:
-    """Between regions: a view change, and one more round trip to ask for it and to be told."""
+    """Between regions, a release takes a view change and one more round trip for the request and its grant."""
     simulation = started(machines, tolerated)
     leave(simulation, primary := primary_of(simulation))
     assert run_until(simulation, partial(may_end, simulation, primary), SECOND) is not None
@@ -105,7 +105,7 @@
 
 
 def is_reconfiguration_complete(member: Member) -> bool:
-    """Return whether no change of the electorate is open, as far as a member knows."""
+    """Return True if the member knows of no unfinished change of the electorate."""
     return (member.leadership or member.state.known_view).is_reconfiguration_complete
 
 
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("leads", [True, False])
 def test_one_of_the_last_two_copies_waits_for_a_third(leads: bool) -> None:
-    """With one of three down the view needs both others: the leaving one serves on, and goes when the third is back."""
+    """With one of three members down, the view needs both others: a leaving member serves until the third is back."""
     simulation = started()
     down = others(simulation, primary_of(simulation))[0]
     simulation.crash(down, keep_unsynced=False)
@@ -170,7 +170,10 @@
 
 @pytest.mark.parametrize("third_may_lead", [True, False])
 def test_one_that_restarted_long_ago_is_not_taken_for_one_that_leaves(third_may_lead: bool) -> None:
-    """The follower that leaves last heard of the third when that left, and would think itself alone."""
+    """A follower must not end as the last member because of an outdated `Leave` message of the third member.
+
+    The last message that the leaving follower received from the third member is the `Leave` before its restart.
+    """
     simulation = started()
     primary = primary_of(simulation)
     leaving, third = others(simulation, primary)
@@ -210,7 +213,10 @@
 
 
 def test_spares_are_told_that_the_primary_resigns() -> None:
-    """They say hello at once, and so the next primary knows them sooner than by its silence."""
+    """Spares must say hello as soon as the primary resigns.
+
+    The next primary then knows the spares earlier than if the spares had to notice the silence of the old primary.
+    """
     simulation = started()
     simulation.add(NEW, (primary_of(simulation),))
     simulation.run_between_regions(CATCH_UP_LIMIT_NS)
@@ -229,7 +235,7 @@
 
 
 def test_a_primary_that_leaves_hands_on_in_time_though_it_is_needed() -> None:
-    """The next one counts on it as a replica at once."""
+    """With one of three members down, the next primary must use the leaving primary as a replica at once."""
     simulation = started()
     simulation.crash(others(simulation, primary_of(simulation))[0], keep_unsynced=False)
     acknowledge(simulation)
@@ -265,13 +271,13 @@
     assert run_until(simulation, lambda: may_end(simulation, ip), 2 * SECOND) is not None
 
 
-# --- replaced, and then lost --------------------------------------------------------------------------------------
+# --- losses after a replacement ------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(("machines", "tolerated"), SIZES)
 @pytest.mark.parametrize("leads", [True, False])
 def test_losses_right_after_a_planned_replacement(machines: int, tolerated: int, leads: bool) -> None:
-    """The new one first; then SIGTERM of the old one, which never returns; then as many as are tolerated, at once."""
+    """Add the new member, end the old one for good by SIGTERM, then lose the tolerated number of members at once."""
     for first_lost in range(machines):
         simulation = started(machines, tolerated)
         new = simulation.add(NEW, (primary_of(simulation),))
@@ -287,7 +293,7 @@
 @pytest.mark.parametrize(("machines", "tolerated"), SIZES)
 @pytest.mark.parametrize("leads", [True, False])
 def test_losses_as_soon_as_the_successors_have_caught_up(machines: int, tolerated: int, leads: bool) -> None:
-    """As many as are tolerated are gone without a word; others take their places; then as many are lost again."""
+    """Lose the tolerated number of members without notice, add successors, then lose the same number again."""
     for first_lost in range(machines):
         simulation = started(machines, tolerated)
         gone = [primary_of(simulation)] if leads else []
@@ -340,7 +346,7 @@
 
 
 def test_the_member_with_the_oldest_disk_is_wiped() -> None:
-    """All but one were replaced; the last of the first start loses its disk as soon as the others have caught up."""
+    """Replace all members but one, and wipe that last original member as soon as the successors have caught up."""
     simulation = started()
     oldest = primary_of(simulation)
     for number, old in enumerate(others(simulation, oldest)):
@@ -356,7 +362,10 @@
 
 
 def test_the_electorate_grows_and_shrinks_by_pairs() -> None:
-    """Three become five for two losses; with one loss to bear, the electorate is of three again, and bears it."""
+    """The electorate grows from three to five members to tolerate two losses.
+
+    When one loss is to be tolerated, the electorate shrinks to three members again and must survive one loss.
+    """
     simulation = started(5, 2)
     assert len(electorate(simulation)) == 5
     sizes = set()
@@ -377,11 +386,11 @@
     acknowledge(simulation)
 
 
-# --- every moment of a replacement ---------------------------------------------------------------------------------
+# --- losses at every event of a replacement ------------------------------------------------------------------------
 
 
 def planned_replacement(simulation: ReplicationSimulation, old: str = OLD) -> Iterator[None]:
-    """The old one leaves, and ends at the first moment at which it may; meanwhile a change is ordered."""
+    """Have `old` leave and remove its machine as soon as it may end; yield after each event, and for 1 s more."""
     leave(simulation, old)
     for _ in every_event(simulation, 4 * SECOND):
         end_leavers(simulation)
@@ -409,7 +418,10 @@
 
 
 def lose_at_every_moment(victim: Callable[[ReplicationSimulation], str], old: str = OLD) -> int:
-    """Tell the story up to a moment; there one more is lost for good. The rest must go on; tells how many moments."""
+    """Replay a replacement up to each event in turn, remove the victim there, and check that the rest recovers.
+
+    Return the number of events.
+    """
     total = sum(1 for _ in planned_replacement(ready_to_replace(), old))
     for moment in range(total):
         simulation = ready_to_replace()
@@ -423,7 +435,7 @@
 
 
 def go_on(simulation: ReplicationSimulation) -> None:
-    """The rest acknowledges a change, while one that leaves is let go."""
+    """Check that the remaining machines acknowledge a change in time, and remove leaving machines once they may end."""
     limit = simulation.now + RECOVERY_LIMIT_NS
     tag = None
     while simulation.now < limit:
@@ -435,7 +447,7 @@
             simulation.settle()
         if tag in simulation.acknowledged:
             return
-    raise InvariantError(f"no change was acknowledged in {RECOVERY_LIMIT_NS / SECOND} s: {simulation.describe()}")
+    raise InvariantError(f"no change was acknowledged within {RECOVERY_LIMIT_NS / SECOND} s: {simulation.describe()}")
 
 
 VICTIMS: dict[str, Callable[[ReplicationSimulation], str]] = {
@@ -454,7 +466,7 @@
 
 @pytest.mark.parametrize("old", [OLD, FIRST])
 def test_two_of_five_are_lost_at_moments_of_a_planned_replacement(old: str) -> None:
-    """Each pair in turn, at another moment."""
+    """Lose two other machines after every seventh event of the replacement, another pair each time."""
     total = sum(1 for _ in planned_replacement(ready_to_replace(5, 2), old))
     pairs = list(combinations([ip for ip in ready_to_replace(5, 2).machines if ip != old], 2))
     assert total > 10 * len(pairs)
@@ -468,9 +480,10 @@
 
 
 def hear_nothing_more_of_the_primary_at_every_moment() -> None:
-    """From some moment on, those that are to stay hear nothing of the primary; half a second later it is gone for good.
+    """After each event in turn, cut the primary's messages to the staying members, and remove the primary 0.5 s later.
 
-    Where that begins just before the new electorate is in force, only the primary knows that it is.
+    If the cut begins just before the new electorate is in force, only the primary knows that this electorate is in
+    force.
     """
     total = sum(1 for _ in planned_replacement(ready_to_replace()))
     for moment in range(total):
@@ -495,9 +508,9 @@
 
 
 def part_at_every_moment(stride: int) -> None:
-    """From some moment of a replacement on, the first primary and the new member are parted from the other two.
+    """Partition the first primary and the new member from the other two after every `stride`-th event of a replacement.
 
-    Both sides are asked for changes; the world finds two histories.
+    Changes are submitted on both sides; the simulation raises an error if the sides acknowledge different histories.
     """
     total = sum(1 for _ in planned_replacement(ready_to_replace()))
     for moment in range(0, total, stride):
@@ -521,15 +534,18 @@
 
 
 def test_nothing_is_acknowledged_before_the_change_of_the_electorate_is_settled() -> None:
-    """No answer that depends on the new electorate, before a majority of it has on its disk that it is in force."""
+    """The primary must not answer calls before the new electorate is settled.
+
+    Settled means that a majority of the new electorate has stored that the new electorate is in force.
+    """
     answered = in_the_open_span()
     assert answered == []
 
 
 def in_the_open_span() -> list[str]:
-    """The changes that are acknowledged while the end of the replacement is on no majority of the disks.
+    """Return the changes acknowledged while no majority of the disks has stored the end of the replacement.
 
-    What tells the others of it is lost for a while.
+    The messages that announce the end of the replacement are lost for 0.5 s.
     """
     simulation = ready_to_replace()
     early: list[str] = []
@@ -563,7 +579,7 @@
 
 
 def test_the_end_of_a_change_is_asked_for_until_it_is_told() -> None:
-    """The answers to it are lost at first; the primary asks again, and then acknowledges what waits."""
+    """The primary must ask again when the first confirmations of the new view are lost, and then answer its calls."""
     simulation = ready_to_replace()
     lost_until = simulation.now + SECOND
     for _ in planned_replacement(simulation):
@@ -577,9 +593,9 @@
 
 
 def new_members_catch_up_first() -> None:
-    """In each view on any disk, everybody who was not in the electorate before holds what was acknowledged.
+    """Check that in each stored view every new witness holds all acknowledged changes.
 
-    What would install the state at the new one is lost for a while.
+    `Install` messages to the new member are lost for 0.5 s.
     """
     simulation = ready_to_replace()
     lost_until = simulation.now + SECOND // 2
@@ -596,7 +612,7 @@
 
 
 def tells_that_it_is_settled(packet: Packet) -> bool:
-    """To others than the sender."""
+    """Return True if the packet tells another member than its sender that the view is in force."""
     to_itself = member_ip(packet.sender) == packet.to_ip
     return isinstance(packet.message, Accept) and packet.message.in_force and not to_itself
 
@@ -610,10 +626,10 @@
         if machine.durable.installed < view.epoch or not simulation.acknowledged <= set(
             machine.durable.state.evacuated_zones
         ):
-            raise InvariantError(f"{witness} votes in {view} without the state")
+            raise InvariantError(f"witness {witness} of {view} lacks the installed state or an acknowledged change")
 
 
-# --- planted faults -----------------------------------------------------------------------------------------------
+# --- planted faults ------------------------------------------------------------------------------------------------
 
 
 def let_go_at_once(self: Member, sender: MemberId, standbys: Collection[MemberId], now: int) -> list[Action]:
@@ -671,11 +687,11 @@
         new_members_catch_up_first()
 
 
-# --- walks with members that leave ---------------------------------------------------------------------------------
+# --- random walks with members that leave --------------------------------------------------------------------------
 
 
 class LeavingWalk(RandomWalk):
-    """Random trouble, and besides members that get SIGTERM: they end when they may or when their time is over."""
+    """Random faults and random SIGTERMs: a leaving member restarts once it may end, or after `LEAVE_LIMIT_NS`."""
 
     def __init__(self, seed: int, machines: int = 3, tolerated: int = 1) -> None:
         super().__init__(seed, machines, tolerated)
--- a/tests/replication/test_replication_power_loss.py
+++ b/tests/replication/test_replication_power_loss.py
@@ -1,4 +1,4 @@
-"""Disks that are lost right after an acknowledgement, while all other machines lose power at the same moment."""
+"""Acknowledged changes survive the loss of disks at the acknowledgement while all other machines lose power."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def lose_disks_after_acknowledgement(lost: tuple[int, ...]) -> None:
-    """A change is acknowledged; at that moment these disks are lost, and nobody else keeps what was not synced."""
+    """Lose some disks at the moment of an acknowledgement; all other machines lose their unsynced writes."""
     simulation = ReplicationSimulation(machines=MACHINES, tolerated=TOLERATED)
     simulation.run(30)
     primary = simulation.primary()
@@ -37,7 +37,7 @@
 
 
 def step_until_acknowledged(simulation: ReplicationSimulation, tag: str) -> None:
-    """One packet or one sync after the other, until the operator has the answer and not a step more."""
+    """Deliver one packet or sync one disk at a time, and stop as soon as the operator has the answer."""
     for _ in range(1000):
         if tag in simulation.acknowledged:
             return
@@ -50,7 +50,7 @@
                 break
         else:
             simulation.run(1)
-    raise AssertionError("the change was never acknowledged")
+    raise AssertionError("the change was not acknowledged within 1000 steps")
 
 
 @pytest.mark.parametrize("lost", PAIRS)
--- a/tests/replication/test_replication_restarts.py
+++ b/tests/replication/test_replication_restarts.py
@@ -1,4 +1,4 @@
-"""A member that comes back after a long life of the others: it never leads with old state, nor stays behind."""
+"""A member that returns after many changes never leads with outdated state, and catches up."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     return [ip for ip in simulation.machines if ip != primary_of(simulation)]
 
 
-# --- stories ------------------------------------------------------------------------------------------------------
+# --- returns after many changes -----------------------------------------------------------------------------------
 
 
 def test_a_member_that_missed_hundreds_of_changes_is_a_replica_again() -> None:
@@ -79,7 +79,7 @@
 
 
 def test_old_disks_alone_lead_nobody() -> None:
-    """Of five, the only two that have the last hundreds of changes are down: the other three wait for one of them."""
+    """The three of five members that hold the last 300 changes are down: the other two must wait for one of them."""
     simulation = started(machines=5, tolerated=2)
     old = backups(simulation)[:2]
     for ip in old:
@@ -111,7 +111,7 @@
     simulation.recover()
 
 
-# --- a member that is catching up is no source --------------------------------------------------------------------
+# --- a member that is catching up provides no state for a view ----------------------------------------------------
 
 
 def test_a_member_that_was_catching_up_does_not_lead_with_old_state() -> None:
@@ -119,7 +119,7 @@
 
 
 def any_source_of_the_epoch(self: Candidate) -> MemberId | None:
-    """Planted: whoever has a state of the base view counts, also one that was only catching up."""
+    """Planted fault: take any member with a state of the base view as source, even one that was only catching up."""
     usable = {each: it for each, it in self._promises.items() if it.position.epoch >= self.base.epoch}
     return max(usable, key=lambda each: (usable[each].position.epoch, usable[each].position.index), default=None)
 
@@ -134,7 +134,10 @@
 
 
 def candidate_finds_no_source_but_a_replica() -> None:
-    """Three of five voters promise: one was catching up in the last view, two are of an older one. Then a replica."""
+    """A candidate with the promises of three of five voters must wait until a replica of the base view promises too.
+
+    Of the three voters, one was catching up in the base view, and two have states of an older view.
+    """
     one, two, three, four, five = (MemberId(f"10.0.0.{number}/0") for number in range(1, 6))
     voters = (one, two, three, four, five)
     base = View(Epoch(4, one), one, (one, two), voters, voters)
@@ -160,7 +163,10 @@
 
 
 def member_that_was_catching_up_is_left() -> None:
-    """Two of five are replicas, a third has an old snapshot of their view: both are lost, and two old ones come."""
+    """Check that no member leads after both replicas of a view of five members are lost.
+
+    A third member has an old snapshot of that view, and two members with older state return.
+    """
     simulation = ReplicationSimulation(5, 1)
     simulation.run(30)
     primary = primary_of(simulation)
@@ -176,7 +182,7 @@
     simulation.set_healthy(third, True)
     while simulation.machines[third].durable.installed != view.epoch:
         simulation.run(1)
-    simulation.set_healthy(third, False)  # before it joins
+    simulation.set_healthy(third, False)  # before this member becomes a replica
     for _ in range(20):
         change_many(simulation, 1)
         simulation.run(1)
@@ -195,7 +201,7 @@
     simulation.run(60)
     tag = simulation.submit(primary_of(simulation))
     simulation.settle()
-    assert tag in simulation.acknowledged  # and the world checks that nothing acknowledged is missing
+    assert tag in simulation.acknowledged  # the simulation also checks that no acknowledged change is missing
 
 
 def test_a_late_copy_of_an_install_does_not_take_a_replica_back() -> None:
@@ -264,7 +270,10 @@
 @pytest.mark.parametrize("operation", range(1, 7))
 @pytest.mark.parametrize("size", [10, MAX_LOG_BYTES + 4096])
 def test_a_snapshot_is_on_the_disk_whole_or_not_at_all(operation: int, size: int) -> None:
-    """A small one is a frame of the log, a large one a slot and a mark: four operations of the disk."""
+    """A power loss must not leave part of a snapshot on the disk.
+
+    A small snapshot is one frame of the log: two disk operations. A large one is a slot and a new log header: four.
+    """
     for seed in range(20):
         disk, before = with_some_changes()
         store = opened(disk)
--- a/tests/replication/test_replication_snapshots.py
+++ b/tests/replication/test_replication_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots in pieces: lost, damaged, from another source, over slow links and while changes go on."""
+"""Snapshots sent in chunks: lost and damaged chunks, another source, slow links, and concurrent changes."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 CODEC = TagCodec(1000)
 STATE = ControlState(index=2, evacuated_zones=("t1", "t2"))
 LARGE = 4 << 20
-PASSAGE = LARGE * SECOND // FIVE_MBIT  # of a large state over a slow link
+PASSAGE = LARGE * SECOND // FIVE_MBIT  # nanoseconds to send a state of `LARGE` bytes over a slow link
 
 
 def offer_of(source: SnapshotSource, state: ControlState = STATE, epoch: Epoch = EPOCH) -> Install:
@@ -60,14 +60,14 @@
 
 
 def collect(source: SnapshotSource, receiver: SnapshotReceiver, sends: list[Send], now: int) -> Install | Fetched:
-    """Answer what is asked for until the snapshot is whole."""
+    """Answer chunk requests until the snapshot is complete; return the message that waited for the snapshot."""
     while sends:
         for chunk in chunks_for(source, sends):
             complete = receiver.take_chunk(chunk, now)
             if complete is not None:
                 return complete[1]
         sends = receiver.tick(now)
-    raise AssertionError("nothing more was asked for")
+    raise AssertionError("the receiver requests no more chunks although the snapshot is incomplete")
 
 
 def test_a_small_state_goes_whole_and_a_large_one_by_its_id() -> None:
@@ -225,7 +225,7 @@
     while not is_complete(simulation):
         assert simulation.now - began < 4 * PASSAGE, simulation.describe()
         simulation.run_with_changes(steps_between * STEP_NS, steps_between)
-    assert simulation.now - began > PASSAGE // 2  # the link was the limit
+    assert simulation.now - began > PASSAGE // 2  # the link limited the transfer
     simulation.change_bytes = 0
     simulation.run_between_regions(2 * SECOND)
     assert all(isinstance(answer, Committed) for _, answer in simulation.answers)
@@ -239,7 +239,7 @@
 
 
 def test_a_piece_lost_for_ever_is_found() -> None:
-    """Planted: what was asked for once is never asked for again."""
+    """Planted fault: a chunk that was requested once is never requested again."""
     never = mock.patch.object(snapshots, "CHUNK_RETRY_NS", 1 << 62)
     with never, pytest.raises(AssertionError):
         member_joins_although_chunks_are_lost()
@@ -257,14 +257,14 @@
 
 
 def test_a_stage_that_does_not_wait_for_pieces_is_found() -> None:
-    """Planted: pieces on their way are no progress."""
+    """Planted fault: chunks in flight do not count as progress of a candidate."""
     stubborn = mock.patch.object(Candidate, "record_progress", lambda self, now: None)
     with stubborn, pytest.raises(AssertionError):
         the_rest_must_install_a_large_state()
 
 
 def the_rest_must_install_a_large_state() -> None:
-    """A machine comes back behind a large state, and the primary is lost at once: the other backup must bring it."""
+    """The primary is lost while an outdated backup returns: the other backup must install the large state there."""
     simulation = slow()
     primary = primary_of(simulation)
     behind, other = (machine for machine in simulation.machines if machine != primary)
@@ -276,7 +276,7 @@
     simulation.run_between_regions(2 * SECOND)
     before = highest_promise(simulation)
     time_until_acknowledged(simulation, PASSAGE + 4 * SECOND)
-    assert highest_promise(simulation) == before  # one attempt is enough
+    assert highest_promise(simulation) == before  # one candidacy was enough
     assert simulation.primary() == other
     simulation.recover()
 
@@ -295,7 +295,7 @@
     simulation.run_between_regions(2 * SECOND)
     before = highest_promise(simulation)
     time_until_acknowledged(simulation, PASSAGE + 4 * SECOND)
-    assert highest_promise(simulation) == before  # nobody else has stood meanwhile
+    assert highest_promise(simulation) == before  # no other member became a candidate meanwhile
 
 
 def test_a_failover_does_not_wait_for_a_member_that_it_can_do_without() -> None:
@@ -356,11 +356,11 @@
     assert time_until_complete(simulation, 10 * SECOND) < 3 * SECOND
 
 
-# --- what decides repeats -----------------------------------------------------------------------------------------
+# --- recognition of repeated changes ------------------------------------------------------------------------------
 
 
 def order(number: int) -> Change:
-    """The same services each time, but another generation, so that an order that comes again is known by its digest."""
+    """Return a change to generation `number`, with the same services each time, so that a digest finds repeats."""
     services = [{"name": f"s{place}", "health_check": f"/{number}/{place}"} for place in range(50)]
     body = json.dumps({"generation": number, "routes": [], "services": services}).encode()
     return Change(ChangeKind.PUT_CONFIGURATION, body, number - 1)
@@ -395,7 +395,7 @@
 
 
 def test_a_snapshot_without_the_taken_orders_would_refuse_one_that_was_taken() -> None:
-    """Planted: the digests stay behind."""
+    """Planted fault: the snapshot lacks the digests of the changes that were applied."""
     received = passed_in_chunks(state_after(5), lambda state: encode_state(replace(state, applied_change_keys=())))
     assert isinstance(apply(received, order(3)), Failure)
 
--- a/tests/replication/test_replication_times.py
+++ b/tests/replication/test_replication_times.py
@@ -1,4 +1,4 @@
-"""How long the members take, in simulated time, with 55 ms between any two of them and 5 ms for a write."""
+"""Limits on write, failover and rejoin times, in simulated time: 55 ms one way between members, 5 ms a disk write."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def started(machines: int = 3, tolerated: int = 1, seeds: int = 3) -> ReplicationSimulation:
-    """A system that has come up, with everybody a replica."""
+    """Return a running simulation in which every machine is a replica and a witness."""
     simulation = ReplicationSimulation(machines, tolerated, seeds)
     simulation.run_between_regions(6 * SECOND)
     assert is_complete(simulation), simulation.describe()
@@ -30,7 +30,7 @@
 
 
 def time_until_acknowledged(simulation: ReplicationSimulation, limit: int) -> int:
-    """The operator tries every machine that leads until a change is acknowledged."""
+    """Submit a change to each primary until it is acknowledged; return the nanoseconds taken, at most `limit`."""
     began = simulation.now
     tag = None
     while simulation.now - began < limit:
@@ -40,7 +40,7 @@
         simulation.run_between_regions(STEP_NS)
         if tag in simulation.acknowledged:
             return simulation.now - began
-    raise AssertionError(f"not acknowledged in {limit / SECOND} s: {simulation.describe()}")
+    raise AssertionError(f"no change was acknowledged within {limit / SECOND} s: {simulation.describe()}")
 
 
 def time_until_complete(simulation: ReplicationSimulation, limit: int) -> int:
@@ -49,7 +49,9 @@
         simulation.run_between_regions(STEP_NS)
         if is_complete(simulation):
             return simulation.now - began
-    raise AssertionError(f"not complete in {limit / SECOND} s: {simulation.describe()}")
+    raise AssertionError(
+        f"not all machines are replicas and witnesses within {limit / SECOND} s: {simulation.describe()}"
+    )
 
 
 def primary_of(simulation: ReplicationSimulation) -> str:
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -1,4 +1,4 @@
-"""The store against a disk that loses power at every step, is full, and is damaged."""
+"""The store on a disk that loses power at any operation, is full, or is damaged."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def script(length: int) -> list[Updates]:
-    """Updates of several names and sizes, with removals."""
+    """Return updates of several names, with values of several sizes and with removals."""
     steps: list[Updates] = []
     for number in range(length):
         value = bytes([number % 251]) * (1 + 37 * number % 300)
@@ -44,7 +44,7 @@
 
 
 def run_until_power_loss(disk: ModelDisk, steps: list[Updates], before: Values | None = None) -> tuple[Values, Values]:
-    """What was acknowledged, and what might have been stored beyond it."""
+    """Return the acknowledged values, and the values with the last attempted update, which may be stored as well."""
     acknowledged: Values = before or {}
     attempted = acknowledged
     try:
@@ -61,7 +61,7 @@
 
 @pytest.fixture
 def short_log(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Slots change every few updates."""
+    """Limit the log to four records, so that the store switches slots every few updates."""
     monkeypatch.setattr(store_module, "MAX_LOG_RECORDS", 4)
 
 
@@ -76,7 +76,7 @@
         assert store.update(updates) is None
         expected = applied(expected, updates)
     assert dict(opened(FolderDisk(tmp_path / "new")).values) == expected
-    assert store.generation == 3  # every slot takes one update, and 63 more follow its header in the log
+    assert store.generation == 3  # each slot takes one update, and 63 more follow the header in the log
 
 
 @pytest.mark.usefixtures("short_log")
@@ -122,7 +122,7 @@
 
 
 def opened_without_steps(disk: ModelDisk) -> Store:
-    """Open without counting towards the loss of power."""
+    """Open the store without counting its disk operations towards the planned power loss."""
     at, disk.lose_power_at = disk.lose_power_at, None
     before = disk.operations
     store = opened(disk)
@@ -162,7 +162,7 @@
 
 @pytest.mark.usefixtures("short_log")
 def test_damage_is_reported_or_harmless() -> None:
-    """Any damaged byte but in the last frame of the log, which looks like an append that never finished."""
+    """Flip every byte except in the last frame of the log, where damage looks like an append that never finished."""
     for length in (1, 4, 9, 13):
         disk = ModelDisk()
         acknowledged, _ = run_until_power_loss(disk, script(length))
@@ -192,7 +192,7 @@
 
 @pytest.mark.usefixtures("short_log")
 def test_a_missing_sync_is_caught() -> None:
-    """The planted fault: without syncs, some loss of power must lose something acknowledged."""
+    """Planted fault: without syncs, at least one power loss must lose an acknowledged update."""
     lost = 0
     for seed in range(30):
         disk = ModelDisk()
