--- a/tests/leases/test_contact_cuts.py
+++ b/tests/leases/test_contact_cuts.py
@@ -11,9 +11,9 @@
 from canvasbeam.runtime.settings import Address
 from tests.support.cluster_network import MS, SECOND, Host, Network
 
-STALE = 1_200 * MS
-IN_FORCE = 3 * SECOND  # documented time from the acknowledgement of a change until it is in force on all nodes
-LEFT_WITHIN = 1_600 * MS  # children leave a parent out of contact and hold the newest configuration within this time
+CONTACT_TIMEOUT = 1_200 * MS
+IN_FORCE_LIMIT = 3 * SECOND  # documented time from the acknowledgement of a change until it is in force on all nodes
+REPARENT_LIMIT = 1_600 * MS  # children leave a parent out of contact and hold the newest configuration within this time
 SEEDS = range(1, 5)
 
 
@@ -29,7 +29,7 @@
     return host.core.has_majority(network.now)
 
 
-def age(network: Network, host: Host) -> int:
+def contact_age(network: Network, host: Host) -> int:
     found = host.core.contact_age(network.now)
     assert found is not None
     return found
@@ -46,15 +46,15 @@
 # --- without faults -------------------------------------------------------------------------------
 
 
-def test_in_calm_the_ages_stay_well_below_what_a_heartbeat_is_acknowledged_within() -> None:
+def test_contact_ages_without_faults_stay_below_heartbeat_limit() -> None:
     network, controls, edges = fleet()
     for _ in range(1_000):
         network.run(7 * MS)
-        assert all(age(network, control) <= 400 * MS for control in controls)
-        assert all(age(network, edge) <= 600 * MS for edge in edges)
+        assert all(contact_age(network, control) <= 400 * MS for control in controls)
+        assert all(contact_age(network, edge) <= 600 * MS for edge in edges)
 
 
-def test_ways_of_55_ms_among_control_nodes_leave_room() -> None:
+def test_contact_ages_at_55_ms_delay_stay_below_heartbeat_limit() -> None:
     """With one-way delays of 55 ms, the contact age stays below the 600 ms above which no heartbeat is acknowledged."""
     network, controls, _ = fleet()
     for control in controls:
@@ -62,30 +62,30 @@
     network.run(SECOND)
     for _ in range(1_000):
         network.run(7 * MS)
-        assert all(age(network, control) <= 420 * MS for control in controls)
+        assert all(contact_age(network, control) <= 420 * MS for control in controls)
 
 
-def test_in_calm_nobody_changes_its_parent() -> None:
+def test_no_node_changes_its_parent_without_faults() -> None:
     network, _, edges = fleet(edges=60)
     before = [edge.core.distribution.link.changes for edge in edges]
     network.run(60 * SECOND)
     assert [edge.core.distribution.link.changes for edge in edges] == before
 
 
-def test_below_relays_the_ages_stay_below_the_staleness_of_a_parent() -> None:
+def test_contact_ages_below_relays_stay_below_contact_timeout() -> None:
     network, _controls, edges = fleet(edges=60)
     deepest = max(edge.core.distribution.standing.depth for edge in edges)
     assert deepest == 2
     for _ in range(300):
         network.run(13 * MS)
-        assert all(age(network, edge) <= 700 * MS for edge in edges)
+        assert all(contact_age(network, edge) <= 700 * MS for edge in edges)
 
 
 # --- one control node is cut off ------------------------------------------------------------------
 
-MUTE, DEAF = "its messages are lost", "others' messages are lost"
-MUTE_STALL, DEAF_STALL = "its messages are stalled", "others' messages are stalled"
-ONE_WAY = [MUTE, DEAF, MUTE_STALL, DEAF_STALL]
+OUTGOING_LOST, INCOMING_LOST = "its messages are lost", "others' messages are lost"
+OUTGOING_STALLED, INCOMING_STALLED = "its messages are stalled", "others' messages are stalled"
+ONE_WAY_FAULTS = [OUTGOING_LOST, INCOMING_LOST, OUTGOING_STALLED, INCOMING_STALLED]
 
 
 def cut_one_way(network: Network, host: Host, direction: str, others: list[Host]) -> None:
@@ -105,11 +105,11 @@
             network.stall(others, [host])
 
 
-@pytest.mark.parametrize("direction", ONE_WAY)
-def test_a_control_node_cut_one_way_from_its_peers_is_out_of_contact(direction: str) -> None:
+@pytest.mark.parametrize("direction", ONE_WAY_FAULTS)
+def test_control_node_cut_one_way_from_peers_is_out_of_contact(direction: str) -> None:
     network, controls, _ = fleet()
     cut_one_way(network, controls[0], direction, controls[1:])
-    network.run(STALE + 10 * MS)
+    network.run(CONTACT_TIMEOUT + 10 * MS)
     assert not is_in_contact(network, controls[0])
     for _ in range(100):
         network.run(100 * MS)
@@ -118,8 +118,8 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-@pytest.mark.parametrize("direction", ONE_WAY)
-def test_its_children_leave_it_and_have_what_was_acknowledged_since(direction: str, seed: int) -> None:
+@pytest.mark.parametrize("direction", ONE_WAY_FAULTS)
+def test_children_leave_parent_out_of_contact_and_receive_later_changes(direction: str, seed: int) -> None:
     """Children must leave a parent that is out of contact although they still receive its messages.
 
     Only the links between control nodes are cut.
@@ -130,8 +130,8 @@
     cut_at = network.now
     item = network.publish(controls[1], 1)
     others = others_than(network, controls[0])
-    assert network.run_until(lambda: network.have(others, item), 3 * SECOND) <= LEFT_WITHIN
-    network.run_until(lambda: not children_of(network, controls[0]), cut_at + LEFT_WITHIN - network.now)
+    assert network.run_until(lambda: network.have(others, item), 3 * SECOND) <= REPARENT_LIMIT
+    network.run_until(lambda: not children_of(network, controls[0]), cut_at + REPARENT_LIMIT - network.now)
     for number in range(2, 10):
         network.run(SECOND)
         item = network.publish(controls[number % 2 + 1], number)
@@ -140,49 +140,51 @@
 
 
 @pytest.mark.parametrize("after", range(0, 3_000, 300))
-@pytest.mark.parametrize("direction", ONE_WAY)
-def test_whenever_a_change_is_acknowledged_it_is_in_force_in_time(direction: str, after: int) -> None:
+@pytest.mark.parametrize("direction", ONE_WAY_FAULTS)
+def test_change_published_during_cut_is_in_force_in_time(direction: str, after: int) -> None:
     network, controls, _ = fleet()
     others = others_than(network, controls[0])
     cut_one_way(network, controls[0], direction, controls[1:])
     network.run(after * MS)
     item = network.publish(controls[1], 1)
-    assert network.run_until(lambda: network.have(others, item), IN_FORCE) <= LEFT_WITHIN
+    assert network.run_until(lambda: network.have(others, item), IN_FORCE_LIMIT) <= REPARENT_LIMIT
 
 
-@pytest.mark.parametrize("direction", ONE_WAY)
-def test_what_is_published_at_the_very_moment_of_the_cut_is_in_force_in_time(direction: str) -> None:
+@pytest.mark.parametrize("direction", ONE_WAY_FAULTS)
+def test_change_published_just_before_cut_is_in_force_in_time(direction: str) -> None:
     network, controls, _edges = fleet()
     network.run(130 * MS)
     item = network.publish(controls[1], 1)
     network.run(10 * MS)
     cut_one_way(network, controls[0], direction, controls[1:])
     others = others_than(network, controls[0])
-    assert network.run_until(lambda: network.have(others, item), IN_FORCE) <= LEFT_WITHIN
+    assert network.run_until(lambda: network.have(others, item), IN_FORCE_LIMIT) <= REPARENT_LIMIT
 
 
-@pytest.mark.parametrize("direction", ONE_WAY)
-def test_a_control_node_cut_one_way_from_everybody_keeps_no_child(direction: str) -> None:
+@pytest.mark.parametrize("direction", ONE_WAY_FAULTS)
+def test_children_of_control_node_cut_one_way_from_all_nodes_receive_changes(direction: str) -> None:
     network, controls, _ = fleet()
     others = others_than(network, controls[0])
     cut_one_way(network, controls[0], direction, others)
     item = network.publish(controls[2], 1)
-    assert network.run_until(lambda: network.have(others, item), 3 * SECOND) <= LEFT_WITHIN
+    assert network.run_until(lambda: network.have(others, item), 3 * SECOND) <= REPARENT_LIMIT
 
 
 def test_two_control_nodes_of_five_cut_off_together_are_out_of_contact() -> None:
     network, controls, edges = fleet(regions=5, edges=15)
     cut, rest = controls[:2], controls[2:]
     network.cut(cut, rest)
-    network.run(STALE + 10 * MS)
+    network.run(CONTACT_TIMEOUT + 10 * MS)
     assert not any(is_in_contact(network, node) for node in cut)
     assert all(is_in_contact(network, entry) for entry in rest)
     item = network.publish(rest[0], 1)
-    assert network.run_until(lambda: network.have([*rest, *edges], item), 3 * SECOND) <= LEFT_WITHIN - STALE
+    assert (
+        network.run_until(lambda: network.have([*rest, *edges], item), 3 * SECOND) <= REPARENT_LIMIT - CONTACT_TIMEOUT
+    )
     assert all(is_in_contact(network, edge) for edge in edges)
 
 
-def test_a_node_that_hears_again_is_in_contact_only_with_what_the_majority_holds() -> None:
+def test_reconnected_node_is_in_contact_only_with_configuration_of_majority() -> None:
     network, controls, _ = fleet()
     network.cut_both_ways([controls[0]], controls[1:])
     network.run(3 * SECOND)
@@ -201,7 +203,7 @@
     assert network.have([controls[0]], item)
 
 
-def test_only_a_node_in_contact_calls_a_member_dead() -> None:
+def test_only_a_node_in_contact_declares_members_dead() -> None:
     network, controls, _ = fleet()
     network.cut([controls[0]], controls[1:])
     network.run(1_500 * MS)
@@ -218,7 +220,7 @@
 # --- stalled links --------------------------------------------------------------------------------
 
 
-def test_keepalives_that_were_held_on_the_way_are_as_old_as_they_are() -> None:
+def test_age_of_stalled_keepalives_counts_from_their_sending() -> None:
     network, controls, _edges = fleet()
     child = children_of(network, controls[0])[0]
     before = child.core.distribution.standing.contact_instant
@@ -240,7 +242,7 @@
         assert not is_in_contact(network, child)
 
 
-def test_grants_that_were_held_on_the_way_make_no_lease_that_is_not_old() -> None:
+def test_stalled_grants_do_not_renew_an_old_lease() -> None:
     network, controls, _ = fleet()
     network.stall(controls[1:], [controls[0]])
     network.run(3 * SECOND)
@@ -252,14 +254,14 @@
     instant = controls[0].core.distribution.standing.contact_instant
     assert instant is not None
     assert instant <= held_since
-    network.run(STALE)
+    network.run(CONTACT_TIMEOUT)
     assert not is_in_contact(network, controls[0])
 
 
 # --- paused processes -----------------------------------------------------------------------------
 
 
-def test_a_control_node_that_stood_still_has_no_contact_until_a_new_round_is_granted() -> None:
+def test_paused_control_node_has_no_contact_until_a_new_request_is_granted() -> None:
     network, controls, _ = fleet()
     contact = controls[0].core.distribution.lease
     network.run_until(lambda: bool(contact._requests), 300 * MS)  # the grants arrive during the freeze
@@ -275,7 +277,7 @@
     assert controls[0].core.has_recent_exchange(network.now)
 
 
-def test_a_thawed_parent_vouches_for_nothing_that_it_does_not_know() -> None:
+def test_resumed_parent_does_not_confirm_child_without_newest_configuration() -> None:
     network, controls, _ = fleet()
     child = children_of(network, controls[0])[0]
     network.cut([child], controls[1:])
@@ -290,15 +292,15 @@
     assert network.have([child], item)
 
 
-def test_below_a_relay_that_stood_still_contact_ends_and_comes_back() -> None:
+def test_contact_below_a_paused_relay_ends_and_returns() -> None:
     network, controls, edges = fleet(edges=60)
     relay = next(edge for edge in edges if children_of(network, edge))
     children = children_of(network, relay)
     network.freeze(relay, 4 * SECOND)
-    network.run(STALE + 100 * MS)
+    network.run(CONTACT_TIMEOUT + 100 * MS)
     item = network.publish(controls[0], 1)
     rest = [edge for edge in edges if edge is not relay]
-    assert network.run_until(lambda: network.have(rest, item), 2 * SECOND) <= LEFT_WITHIN - STALE
+    assert network.run_until(lambda: network.have(rest, item), 2 * SECOND) <= REPARENT_LIMIT - CONTACT_TIMEOUT
     network.run(3 * SECOND)
     network.run_until(lambda: all(is_in_contact(network, node) for node in [relay, *children]), SECOND)
     assert network.have(network.running(), item)
@@ -307,27 +309,27 @@
 # --- starts during a cut --------------------------------------------------------------------------
 
 
-def test_an_edge_restarted_into_the_cut_finds_the_majority() -> None:
+def test_edge_restarted_during_cut_finds_the_majority() -> None:
     network, controls, edges = fleet()
     network.cut([controls[0]], controls[1:])
     network.run(2 * SECOND)
     item = network.publish(controls[1], 1)
     edge = network.restart(edges[0])
-    assert network.run_until(lambda: network.have([edge], item), 3 * SECOND) <= LEFT_WITHIN
+    assert network.run_until(lambda: network.have([edge], item), 3 * SECOND) <= REPARENT_LIMIT
     network.run_until(lambda: is_in_contact(network, edge), SECOND)
 
 
-def test_an_edge_whose_seeds_are_all_on_the_wrong_side_finds_the_majority_by_their_members() -> None:
+def test_edge_with_seeds_on_minority_side_finds_majority_by_member_list() -> None:
     network, controls, edges = fleet()
     network.cut(controls[:1], controls[1:])
     item = network.publish(controls[1], 1)
     network.seeds = [controls[0].address]
     edge = network.restart(edges[0])
-    assert network.run_until(lambda: network.have([edge], item), 4 * SECOND) <= IN_FORCE
+    assert network.run_until(lambda: network.have([edge], item), 4 * SECOND) <= IN_FORCE_LIMIT
     network.run_until(lambda: is_in_contact(network, edge), SECOND)
 
 
-def test_an_edge_with_nobody_else_goes_on_with_its_parent_out_of_contact() -> None:
+def test_edge_without_other_candidates_keeps_parent_out_of_contact() -> None:
     network, controls, edges = fleet()
     side = [controls[0], *(edge for edge in edges if edge.member.region == "region-0")]
     network.cut_both_ways(side, others_than(network, *side))
@@ -339,7 +341,7 @@
     assert {node.member.name for node in side[1:]} <= network.names(controls[0])
 
 
-def test_a_control_node_that_hears_nobody_directs_nobody() -> None:
+def test_control_node_that_receives_nothing_has_no_recent_exchange() -> None:
     network, controls, _ = fleet()
     network.cut(others_than(network, controls[0]), [controls[0]])
     network.run(2_100 * MS)
@@ -354,7 +356,7 @@
         control.core.set_electorates(network.now, [[member.member.ip for member in group] for group in electorates])
 
 
-def test_contact_is_with_the_witnesses_of_the_view_where_one_is_known() -> None:
+def test_contact_needs_a_majority_of_the_witnesses_of_a_known_view() -> None:
     """A majority of the control nodes must not suffice where a majority of the witnesses is on the other side of a cut.
 
     Two of the three witnesses are on one side, three of the five control nodes on the other.
@@ -367,7 +369,7 @@
     assert not any(is_in_contact(network, control) for control in controls[2:])
 
 
-def test_an_electorate_that_changes_keeps_contact_where_both_majorities_are_there() -> None:
+def test_change_of_electorate_keeps_contact_while_both_majorities_answer() -> None:
     network, controls, _ = fleet(regions=5, edges=10)
     former, later, running = controls[:3], controls[2:], controls[1:]
     network.lose_power(controls[0])
@@ -378,7 +380,7 @@
             assert all(is_in_contact(network, host) for host in running)
 
 
-def test_an_electorate_that_changes_ends_contact_where_one_majority_is_lost_until_it_is_settled() -> None:
+def test_change_of_electorate_ends_contact_without_both_majorities_until_settled() -> None:
     network, controls, _ = fleet(regions=5, edges=10)
     former, later = controls[:3], controls[2:]
     set_electorates(network, controls, later, former)
@@ -397,7 +399,7 @@
     return Item(ItemKind.WORKER, "w1", Version(sequence), b"worker")
 
 
-def test_a_write_is_done_soon_and_then_a_majority_holds_the_item() -> None:
+def test_completed_write_is_held_by_a_majority() -> None:
     network, controls, _ = fleet()
     item = worker(1)
     network.publish_items(controls[0], [item])
@@ -408,8 +410,8 @@
     network.run_until(lambda: network.have(network.running(), item), 200 * MS)
 
 
-@pytest.mark.parametrize("direction", ONE_WAY)
-def test_a_write_of_a_node_cut_one_way_is_never_done(direction: str) -> None:
+@pytest.mark.parametrize("direction", ONE_WAY_FAULTS)
+def test_write_of_a_node_cut_one_way_never_completes(direction: str) -> None:
     network, controls, _ = fleet()
     cut_one_way(network, controls[0], direction, controls[1:])
     number = controls[0].core.begin_write(network.now, [worker(1)])
@@ -418,7 +420,7 @@
     assert not controls[0].core.is_written(number)
 
 
-def test_a_write_whose_first_messages_are_lost_is_sent_again() -> None:
+def test_write_is_sent_again_after_lost_messages() -> None:
     network, controls, _ = fleet()
     lost = [2]
 
@@ -434,7 +436,7 @@
     assert any(network.have([control], worker(1)) for control in controls[1:])
 
 
-def test_what_granters_report_is_what_they_hold() -> None:
+def test_granters_report_the_versions_that_they_hold() -> None:
     network, controls, _ = fleet()
     reported: list[ControlVersions] = []
 
@@ -453,7 +455,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 25))
-def test_control_nodes_that_were_given_up_are_asked_again_where_nobody_else_is_left(seed: int) -> None:
+def test_edge_retries_failed_parent_candidates_when_no_other_is_left(seed: int) -> None:
     """An edge must try parent candidates that failed before again when no other candidate is left.
 
     The edge is cut off from all nodes for 2 s; right after it has found a parent again, that parent receives nothing
@@ -470,4 +472,4 @@
     others = [control for control in controls if control is not parent]
     network.stall(others, [parent])
     item = network.publish(others[0], 1)
-    assert network.run_until(lambda: network.have([edge], item), 4 * SECOND) <= LEFT_WITHIN
+    assert network.run_until(lambda: network.have([edge], item), 4 * SECOND) <= REPARENT_LIMIT
--- a/tests/leases/test_contact_faults.py
+++ b/tests/leases/test_contact_faults.py
@@ -25,10 +25,10 @@
 from tests.leases import test_contact_cuts as cuts
 from tests.leases import test_contact_lease as lease
 
-Plant = Callable[[pytest.MonkeyPatch], None]
+FaultInjection = Callable[[pytest.MonkeyPatch], None]
 
 
-def contact_from_what_is_heard(patch: pytest.MonkeyPatch) -> None:
+def contact_from_received_messages(patch: pytest.MonkeyPatch) -> None:
     """Move the contact instant when messages arrive from most control nodes, without a granted request."""
     receive = Distribution.receive
 
@@ -75,7 +75,7 @@
     patch.setattr(Distribution, "set_electorates", lambda self, now, electorates: None)
 
 
-def any_round_confirms_a_write(patch: pytest.MonkeyPatch) -> None:
+def any_later_request_confirms_a_write(patch: pytest.MonkeyPatch) -> None:
     """Count a write as done once a majority has granted any later request."""
     patch.setattr(
         ContactLease,
@@ -89,7 +89,7 @@
     patch.setattr(ParentLink, "_is_stale", lambda self, now: False)
 
 
-def write_granted_without_holding(patch: pytest.MonkeyPatch) -> None:
+def write_granted_before_items_are_held(patch: pytest.MonkeyPatch) -> None:
     """Grant a write before the granting control node holds the items of the write."""
 
     def broken(self: Distribution, now: int, sender: Address, message: LeaseRequest) -> None:
@@ -103,18 +103,18 @@
     patch.setattr(ContactLease, "missing_writes", lambda self, peer: [])
 
 
-def death_called_without_contact(patch: pytest.MonkeyPatch) -> None:
+def death_declared_without_contact(patch: pytest.MonkeyPatch) -> None:
     """Let a node declare members dead without being in contact with most of the control nodes."""
     tick = Monitoring.tick
     patch.setattr(Monitoring, "tick", lambda self, now, has_majority: tick(self, now, True))
 
 
-def lost_push_waits_for_the_scrub(patch: pytest.MonkeyPatch) -> None:
+def newer_versions_not_requested(patch: pytest.MonkeyPatch) -> None:
     """Request no newer versions after a keepalive or a grant has named them."""
     patch.setattr(reconcile, "request_newer", lambda table, versions: ())
 
 
-def end_of_a_worker_by_the_lease(patch: pytest.MonkeyPatch) -> None:
+def worker_end_acknowledged_on_earlier_lease(patch: pytest.MonkeyPatch) -> None:
     """Acknowledge the end of a worker on an earlier lease, without a majority that holds the end."""
 
     async def broken(self: RegistryService, worker_id: str, document: dict[str, str]) -> Answer:
@@ -123,39 +123,39 @@
     patch.setattr(RegistryService, "_acknowledge_end", broken)
 
 
-def pause_leaves_the_directory(patch: pytest.MonkeyPatch) -> None:
+def exchange_always_recent(patch: pytest.MonkeyPatch) -> None:
     """Let a directory serve callers right after a pause, before another node has answered a message of this node."""
     patch.setattr(NodeCore, "has_recent_exchange", lambda self, now: True)
 
 
-FAULTS: list[tuple[Plant, Callable[[], None]]] = [
-    (contact_from_what_is_heard,
-     partial(cuts.test_a_control_node_cut_one_way_from_its_peers_is_out_of_contact, cuts.MUTE)),
-    (contact_from_what_is_heard,
-     partial(cuts.test_its_children_leave_it_and_have_what_was_acknowledged_since, cuts.MUTE_STALL, 1)),
-    (lease_counted_from_receipt, cuts.test_grants_that_were_held_on_the_way_make_no_lease_that_is_not_old),
+FAULTS: list[tuple[FaultInjection, Callable[[], None]]] = [
+    (contact_from_received_messages,
+     partial(cuts.test_control_node_cut_one_way_from_peers_is_out_of_contact, cuts.OUTGOING_LOST)),
+    (contact_from_received_messages,
+     partial(cuts.test_children_leave_parent_out_of_contact_and_receive_later_changes, cuts.OUTGOING_STALLED, 1)),
+    (lease_counted_from_receipt, cuts.test_stalled_grants_do_not_renew_an_old_lease),
     (lease_counted_from_receipt,
-     cuts.test_a_control_node_that_stood_still_has_no_contact_until_a_new_round_is_granted),
-    (keepalive_counted_from_receipt, cuts.test_keepalives_that_were_held_on_the_way_are_as_old_as_they_are),
+     cuts.test_paused_control_node_has_no_contact_until_a_new_request_is_granted),
+    (keepalive_counted_from_receipt, cuts.test_age_of_stalled_keepalives_counts_from_their_sending),
     (versions_not_compared,
-     cuts.test_a_node_that_hears_again_is_in_contact_only_with_what_the_majority_holds),
+     cuts.test_reconnected_node_is_in_contact_only_with_configuration_of_majority),
     (one_electorate_of_two, lease.test_two_electorates_must_both_have_a_majority_while_a_view_is_not_settled),
     (one_electorate_of_two,
-     cuts.test_an_electorate_that_changes_ends_contact_where_one_majority_is_lost_until_it_is_settled),
-    (electorate_ignored, cuts.test_contact_is_with_the_witnesses_of_the_view_where_one_is_known),
-    (any_round_confirms_a_write, lease.test_a_write_is_done_when_a_majority_has_granted_that_very_request),
-    (write_granted_without_holding, cuts.test_a_write_whose_first_messages_are_lost_is_sent_again),
-    (write_sent_once, cuts.test_a_write_whose_first_messages_are_lost_is_sent_again),
-    (death_called_without_contact, cuts.test_only_a_node_in_contact_calls_a_member_dead),
-    (lost_push_waits_for_the_scrub,
+     cuts.test_change_of_electorate_ends_contact_without_both_majorities_until_settled),
+    (electorate_ignored, cuts.test_contact_needs_a_majority_of_the_witnesses_of_a_known_view),
+    (any_later_request_confirms_a_write, lease.test_write_completes_only_by_grants_of_its_own_request),
+    (write_granted_before_items_are_held, cuts.test_write_is_sent_again_after_lost_messages),
+    (write_sent_once, cuts.test_write_is_sent_again_after_lost_messages),
+    (death_declared_without_contact, cuts.test_only_a_node_in_contact_declares_members_dead),
+    (newer_versions_not_requested,
      tree.test_a_lost_push_of_a_configuration_is_asked_for_after_the_next_keepalive),
-    (end_of_a_worker_by_the_lease,
+    (worker_end_acknowledged_on_earlier_lease,
      partial(registry.test_the_end_of_a_worker_is_acknowledged_only_when_a_majority_holds_it, "draining")),
-    (pause_leaves_the_directory,
-     cuts.test_a_control_node_that_stood_still_has_no_contact_until_a_new_round_is_granted),
-    (pause_leaves_the_directory, cuts.test_a_control_node_that_hears_nobody_directs_nobody),
+    (exchange_always_recent,
+     cuts.test_paused_control_node_has_no_contact_until_a_new_request_is_granted),
+    (exchange_always_recent, cuts.test_control_node_that_receives_nothing_has_no_recent_exchange),
     (stale_parent_is_kept,
-     partial(cuts.test_its_children_leave_it_and_have_what_was_acknowledged_since, cuts.MUTE_STALL, 1)),
+     partial(cuts.test_children_leave_parent_out_of_contact_and_receive_later_changes, cuts.OUTGOING_STALLED, 1)),
 ]  # fmt: skip
 
 
@@ -164,11 +164,11 @@
     return str(getattr(function, "__name__", value)).removeprefix("test_")
 
 
-@pytest.mark.parametrize(("plant", "named_test"), FAULTS, ids=_name)
+@pytest.mark.parametrize(("inject_fault", "named_test"), FAULTS, ids=_name)
 def test_a_planted_fault_fails_its_test(
-    plant: Plant, named_test: Callable[[], None], monkeypatch: pytest.MonkeyPatch
+    inject_fault: FaultInjection, named_test: Callable[[], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     named_test()
-    plant(monkeypatch)
+    inject_fault(monkeypatch)
     with pytest.raises(AssertionError):
         named_test()
--- a/tests/leases/test_contact_lease.py
+++ b/tests/leases/test_contact_lease.py
@@ -33,7 +33,7 @@
 # --- the lease ------------------------------------------------------------------------------------
 
 
-def test_a_lease_counts_from_the_sending_and_not_from_the_grant() -> None:
+def test_lease_counts_from_the_sending_of_its_request() -> None:
     contact = contact_of(3)
     number = contact.begin_request(1 * SECOND, OLD)
     assert contact.on_grant(NODES[1], number, OLD, OLD)
@@ -41,7 +41,7 @@
     assert contact_state(contact.instant, 4 * SECOND, LEASE) is ContactState.LAPSED
 
 
-def test_a_majority_of_five_is_two_others() -> None:
+def test_majority_of_five_needs_two_other_grants() -> None:
     contact = contact_of(5)
     number = contact.begin_request(0, OLD)
     assert not contact.on_grant(NODES[1], number, OLD, OLD)
@@ -73,7 +73,7 @@
     assert contact.on_grant(NODES[2], number, OLD, OLD)
 
 
-def test_an_electorate_that_grows_ends_no_lease_but_is_asked_for_the_next() -> None:
+def test_grown_electorate_keeps_the_lease_and_must_grant_the_next_request() -> None:
     contact = contact_of(3)
     contact.on_grant(NODES[1], contact.begin_request(0, OLD), OLD, OLD)
     contact.set_electorates([NODES])
@@ -94,13 +94,13 @@
     assert contact.on_grant(NODES[1], number, OLD, OLD)
 
 
-def test_one_control_node_alone_needs_nobody() -> None:
+def test_single_control_node_needs_no_grants() -> None:
     contact = contact_of(1)
     contact.begin_request(5, OLD)
     assert contact.instant == 5
 
 
-def test_a_granter_ahead_holds_the_lease_back_until_its_version_is_held() -> None:
+def test_lease_waits_until_the_newer_version_of_a_granter_is_held() -> None:
     contact = contact_of(3)
     contact.on_grant(NODES[1], contact.begin_request(0, OLD), OLD, OLD)
     number = contact.begin_request(SECOND, OLD)
@@ -110,12 +110,12 @@
     assert contact.instant == SECOND
 
 
-def test_a_granter_behind_holds_nothing_back() -> None:
+def test_granter_with_older_version_does_not_delay_the_lease() -> None:
     contact = contact_of(3)
     assert contact.on_grant(NODES[1], contact.begin_request(0, NEW), OLD, NEW)
 
 
-def test_a_late_grant_moves_the_instant_no_further_than_its_sending_and_never_back() -> None:
+def test_late_grant_does_not_move_the_instant_back() -> None:
     contact = contact_of(3)
     first, second = contact.begin_request(0, OLD), contact.begin_request(SECOND, OLD)
     contact.on_grant(NODES[1], second, OLD, OLD)
@@ -123,7 +123,7 @@
     assert contact.instant == SECOND
 
 
-def test_a_grant_to_an_earlier_incarnation_matches_nothing() -> None:
+def test_grant_to_an_earlier_incarnation_is_ignored() -> None:
     earlier, later = contact_of(3), ContactLease(NODES[0], seed=8)
     later.set_electorates([NODES[:3]])
     number = earlier.begin_request(0, OLD)
@@ -132,14 +132,14 @@
     assert later.exchanged_at is None
 
 
-def test_requests_that_nobody_grants_are_bounded() -> None:
+def test_pending_requests_are_bounded() -> None:
     contact = contact_of(3)
     numbers = [contact.begin_request(now, OLD) for now in range(MAX_PENDING_REQUESTS + 5)]
     assert not contact.on_grant(NODES[1], numbers[4], OLD, OLD)
     assert contact.on_grant(NODES[1], numbers[5], OLD, OLD)
 
 
-def test_a_write_is_done_when_a_majority_has_granted_that_very_request() -> None:
+def test_write_completes_only_by_grants_of_its_own_request() -> None:
     item = Item(ItemKind.WORKER, "w", Version(1))
     contact = contact_of(5)
     write = contact.begin_write(0, [item])
@@ -173,7 +173,7 @@
 # --- the relayed lease of a child -----------------------------------------------------------------
 
 
-def test_a_child_is_in_contact_once_it_holds_what_the_parent_vouched_for() -> None:
+def test_child_is_in_contact_once_it_holds_the_granted_versions() -> None:
     relayed = RelayedLease()
     assert relayed.on_grant(RelayedGrant(0, OLD), OLD)
     assert not relayed.on_grant(RelayedGrant(SECOND, NEW), OLD)
@@ -182,7 +182,7 @@
     assert relayed.instant == SECOND
 
 
-def test_an_older_voucher_takes_nothing_back() -> None:
+def test_older_relayed_grant_does_not_move_the_instant_back() -> None:
     relayed = RelayedLease()
     relayed.on_grant(RelayedGrant(SECOND, OLD), OLD)
     assert not relayed.on_grant(RelayedGrant(0, OLD), OLD)
@@ -194,14 +194,14 @@
 PARENT = NODES[1]
 
 
-def test_a_message_that_waited_on_the_way_is_as_old_as_it_is() -> None:
+def test_age_of_a_delayed_message_counts_from_its_sending() -> None:
     clocks = PeerClocks(0)
     clocks.learn(110, PARENT, SendTime(1, 5_000, requested_at=100))
     assert clocks.sent_at(110, PARENT, SendTime(1, 5_000)) == 100
     assert clocks.sent_at(9_000, PARENT, SendTime(1, 5_250)) == 350
 
 
-def test_a_message_is_never_taken_for_younger_than_it_is() -> None:
+def test_estimated_sending_time_is_never_too_late() -> None:
     """The estimated sending time must not be later than the true one, whatever the delays of request and answer."""
     for out in (0, 5, 400):
         for back in (0, 5, 400):
@@ -209,12 +209,12 @@
             asked, answered = 100, 100 + out  # the parent's clock is 7,000 ns ahead
             clocks.learn(answered + back, PARENT, SendTime(1, answered + 7_000, requested_at=asked))
             for sent in (answered, answered + 250, answered + 5_000):
-                worked_out = clocks.sent_at(sent + back, PARENT, SendTime(1, sent + 7_000))
-                assert worked_out is not None
-                assert sent - out <= worked_out <= sent
+                estimated = clocks.sent_at(sent + back, PARENT, SendTime(1, sent + 7_000))
+                assert estimated is not None
+                assert sent - out <= estimated <= sent
 
 
-def test_a_quicker_answer_tells_more_and_a_slower_one_nothing() -> None:
+def test_faster_answer_improves_the_estimate_and_slower_one_is_ignored() -> None:
     clocks = PeerClocks(0)
     clocks.learn(900, PARENT, SendTime(1, 5_000, requested_at=100))
     clocks.learn(1_010, PARENT, SendTime(1, 5_205, requested_at=1_000))
@@ -231,13 +231,13 @@
     assert clocks.sent_at(400, PARENT, SendTime(2, 60)) == 310
 
 
-def test_what_was_asked_by_an_earlier_life_of_this_process_tells_nothing() -> None:
+def test_answer_to_a_request_of_an_earlier_incarnation_is_ignored() -> None:
     clocks = PeerClocks(1_000)
     clocks.learn(1_100, PARENT, SendTime(1, 5_000, requested_at=900))
     assert clocks.sent_at(1_100, PARENT, SendTime(1, 5_000)) is None
 
 
-def test_a_clock_is_learned_again_since_clocks_drift() -> None:
+def test_clock_offset_is_learned_again_to_follow_drift() -> None:
     clocks = PeerClocks(0)
     clocks.learn(10, PARENT, SendTime(1, 0, requested_at=10))
     assert not clocks.should_request(RELEARN_AFTER_NS, PARENT)
--- a/tests/leases/test_contact_walks.py
+++ b/tests/leases/test_contact_walks.py
@@ -37,12 +37,12 @@
     def watch(self, control: Host) -> None:
         """Record each configuration that this control node adopts."""
 
-        def note(items: Sequence[Item]) -> None:
+        def record(items: Sequence[Item]) -> None:
             for item in items:
                 if item.kind is CONFIGURATION:
                     self._adopted(control, item.version)
 
-        control.core.table.add_listener(note)
+        control.core.table.add_listener(record)
 
     def majority_at(self, time: int) -> int:
         """Return the newest configuration that a majority of the control nodes held at `time`; 0 if there is none."""
@@ -98,10 +98,10 @@
     def cut(self, one: Host, other: Host) -> None:
         self.network.cut([one], [other])
 
-    def mute(self, one: Host, other: Host) -> None:
+    def cut_outgoing(self, one: Host, other: Host) -> None:
         self.network.cut([one], self.hosts)
 
-    def deafen(self, one: Host, other: Host) -> None:
+    def cut_incoming(self, one: Host, other: Host) -> None:
         self.network.cut(self.hosts, [one])
 
     def stall(self, one: Host, other: Host) -> None:
@@ -110,7 +110,7 @@
     def stall_all(self, one: Host, other: Host) -> None:
         self.network.stall([one], self.hosts)
 
-    def choke(self, one: Host, other: Host) -> None:
+    def add_delay(self, one: Host, other: Host) -> None:
         self.network.choke(one, 400 * MS)
 
     def freeze(self, one: Host, other: Host) -> None:
@@ -126,19 +126,19 @@
         self.network.release()
         self.network.choke(one, 0)
 
-    def end_troubles(self) -> None:
+    def end_faults(self) -> None:
         for host in self.hosts:
             self.heal(host, host)
 
 
-TROUBLES: list[Callable[[Walk, Host, Host], None]] = [
-    Walk.cut, Walk.mute, Walk.deafen, Walk.stall, Walk.stall_all, Walk.choke, Walk.freeze, Walk.restart, Walk.heal,
-    Walk.heal,
+FAULT_ACTIONS: list[Callable[[Walk, Host, Host], None]] = [
+    Walk.cut, Walk.cut_outgoing, Walk.cut_incoming, Walk.stall, Walk.stall_all, Walk.add_delay, Walk.freeze,
+    Walk.restart, Walk.heal, Walk.heal,
 ]  # fmt: skip
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(TROUBLES),
+        st.sampled_from(FAULT_ACTIONS),
         st.integers(0, CONTROLS + EDGES - 1),
         st.integers(0, CONTROLS + EDGES - 1),
         st.integers(0, CONTROLS - 1),
@@ -152,41 +152,41 @@
 Steps = list[tuple[Callable[[Walk, Host, Host], None], int, int, int, int]]
 
 
-def walk_through(seed: int, steps: Steps) -> None:
+def run_walk(seed: int, steps: Steps) -> None:
     """Inject each fault and publish a change after it; then end all faults and check that all nodes agree."""
     walk = Walk(seed)
-    for trouble, one, other, publisher, span in steps:
-        trouble(walk, walk.hosts[one], walk.hosts[other])
+    for inject_fault, one, other, publisher, span in steps:
+        inject_fault(walk, walk.hosts[one], walk.hosts[other])
         walk.publish(walk.controls[publisher])
         walk.run(span * 100 * MS)
-    walk.end_troubles()
+    walk.end_faults()
     walk.run(6 * SECOND)
     item = Item(CONFIGURATION, "current", Version(walk.published), bytes(100))
     assert walk.network.have(walk.hosts, item)
     assert all(host.core.has_majority(host.clock(walk.network.now)) for host in walk.hosts)
 
 
-def many_walks(count: int) -> Callable[[], None]:
+def random_walks(count: int) -> Callable[[], None]:
     """Return a function that runs `count` random walks, the same walks at each run."""
-    walks = given(seed=st.integers(0, 1 << 16), steps=STEPS)(walk_through)
+    walks = given(seed=st.integers(0, 1 << 16), steps=STEPS)(run_walk)
     return settings(max_examples=count, deadline=None, derandomize=True, phases=[Phase.generate])(walks)
 
 
-def test_who_is_in_contact_holds_what_the_majority_held() -> None:
-    many_walks(40)()
+def test_node_in_contact_holds_the_configurations_of_the_majority() -> None:
+    random_walks(40)()
 
 
 @pytest.mark.parametrize(
-    "plant",
+    "inject_fault",
     [
-        faults.contact_from_what_is_heard,
+        faults.contact_from_received_messages,
         faults.lease_counted_from_receipt,
         faults.keepalive_counted_from_receipt,
         faults.versions_not_compared,
     ],
-    ids=lambda plant: str(plant.__name__),
+    ids=lambda inject_fault: str(inject_fault.__name__),
 )
-def test_walks_find_a_planted_fault(plant: faults.Plant, monkeypatch: pytest.MonkeyPatch) -> None:
-    plant(monkeypatch)
+def test_walks_find_a_planted_fault(inject_fault: faults.FaultInjection, monkeypatch: pytest.MonkeyPatch) -> None:
+    inject_fault(monkeypatch)
     with pytest.raises(AssertionError):
-        many_walks(400)()
+        random_walks(400)()
--- a/tests/replication/test_replication_long_lives.py
+++ b/tests/replication/test_replication_long_lives.py
@@ -17,7 +17,7 @@
 from tests.replication.test_replication_times import primary_of, started
 from tests.support.replication_simulation import Machine, ReplicationSimulation, primary_part_of
 
-CHANGES = 300
+CHANGE_COUNT = 300
 
 
 def member_of(simulation: ReplicationSimulation, ip: str) -> Member:
@@ -32,7 +32,7 @@
     return primary
 
 
-def change_many(simulation: ReplicationSimulation, count: int = CHANGES) -> None:
+def submit_many(simulation: ReplicationSimulation, count: int = CHANGE_COUNT) -> None:
     for _ in range(count):
         tag = simulation.submit(primary_of(simulation))
         simulation.settle()
@@ -42,7 +42,7 @@
 # --- the log of the primary ---------------------------------------------------------------------------------------
 
 
-def test_a_log_gives_what_follows_an_index_in_pieces_of_a_message() -> None:
+def test_log_returns_changes_after_an_index_up_to_the_size_of_a_message() -> None:
     log = ChangeLog(5)
     changes = [Change(ChangeKind.PUT_CONFIGURATION, bytes(MAX_APPEND_BYTES // 2), number) for number in range(5)]
     for change in changes:
@@ -58,9 +58,9 @@
     assert log.size == log.size_after(0) == MAX_APPEND_BYTES
 
 
-def test_a_long_life_keeps_no_change_that_all_replicas_have() -> None:
+def test_long_lived_view_keeps_no_change_that_all_replicas_have() -> None:
     simulation = started()
-    change_many(simulation)
+    submit_many(simulation)
     simulation.run(1)
     primary = primary_part(simulation)
     assert len(primary._log) == 0
@@ -70,11 +70,11 @@
         assert len(member_of(simulation, ip).state.replica._uncommitted) <= 1
 
 
-def test_a_replica_that_missed_changes_gets_them_while_it_is_in_the_view() -> None:
-    a_replica_misses_changes(started())
+def test_replica_that_missed_changes_receives_them_in_the_same_view() -> None:
+    check_replica_receives_missed_changes(started())
 
 
-def test_a_trimmed_change_that_is_still_needed_is_found() -> None:
+def test_trimming_of_a_change_that_is_still_needed_is_detected() -> None:
     """Planted fault: the primary trims each change from its log as soon as its own disk has stored the change."""
     original = Primary._commit
 
@@ -83,10 +83,10 @@
         return original(self, now)
 
     with mock.patch.object(Primary, "_commit", commit), pytest.raises((AssertionError, IndexError, ValueError)):
-        a_replica_misses_changes(started())
+        check_replica_receives_missed_changes(started())
 
 
-def a_replica_misses_changes(simulation: ReplicationSimulation) -> None:
+def check_replica_receives_missed_changes(simulation: ReplicationSimulation) -> None:
     """Lose changes on the link to one replica; the replica must stay in the view and receive the changes later."""
     primary = primary_of(simulation)
     view = primary_part(simulation).view
@@ -104,38 +104,42 @@
 # --- the bound on changes kept for members that are catching up ---------------------------------------------------
 
 
-class DeafWorld(ReplicationSimulation):
-    """Drops `Append` messages to the machine `deaf` and delivers all other messages."""
+class AppendLossSimulation(ReplicationSimulation):
+    """Drops `Append` messages to the machine `append_lost_to` and delivers all other messages."""
 
-    deaf = ""
+    append_lost_to = ""
 
     def _send(self, machine: Machine, action: Send | SendToAddress) -> None:
-        if isinstance(action, Send) and isinstance(action.message, Append) and member_ip(action.to) == self.deaf:
+        if (
+            isinstance(action, Send)
+            and isinstance(action.message, Append)
+            and member_ip(action.to) == self.append_lost_to
+        ):
             return
         super()._send(machine, action)
 
 
-def test_a_member_that_falls_behind_what_is_kept_gets_another_snapshot() -> None:
-    simulation = DeafWorld()
+def test_member_that_falls_behind_the_log_gets_another_snapshot() -> None:
+    simulation = AppendLossSimulation()
     simulation.run(30)
     simulation.change_bytes = 100_000
     late = next(ip for ip in simulation.machines if ip != primary_of(simulation))
     simulation.crash(late, keep_unsynced=False)
     simulation.run(40)
-    change_many(simulation, 10)
-    simulation.deaf = late
+    submit_many(simulation, 10)
+    simulation.append_lost_to = late
     simulation.start(late)
     primary = primary_part(simulation)
-    most = 0
-    for _ in range(CHANGES // 5):
+    largest_log_size = 0
+    for _ in range(CHANGE_COUNT // 5):
         simulation.run(1)
-        change_many(simulation, 5)
-        most = max(most, primary._log.size)
+        submit_many(simulation, 5)
+        largest_log_size = max(largest_log_size, primary._log.size)
     assert primary is primary_part(simulation)  # the late member caused no change of the view
-    assert MAX_CATCH_UP_BYTES // 2 < most <= MAX_CATCH_UP_BYTES + simulation.change_bytes
-    simulation.deaf = ""
+    assert MAX_CATCH_UP_BYTES // 2 < largest_log_size <= MAX_CATCH_UP_BYTES + simulation.change_bytes
+    simulation.append_lost_to = ""
     simulation.run(60)
-    assert len(simulation.machines[late].durable.state.evacuated_zones) == CHANGES + 10
+    assert len(simulation.machines[late].durable.state.evacuated_zones) == CHANGE_COUNT + 10
     assert simulation.machines[late].me in primary_part(simulation).view.replicas
     simulation.recover()
 
@@ -147,7 +151,7 @@
     return Change(ChangeKind.START_EVACUATION, bytes(MAX_BYTES_IN_FLIGHT // 4), -1, f"large-{number}")
 
 
-def test_more_bytes_than_the_bound_are_refused_until_some_are_committed() -> None:
+def test_changes_above_the_bound_are_refused_until_some_are_committed() -> None:
     simulation = started()
     ip = primary_of(simulation)
     member = member_of(simulation, ip)
@@ -163,6 +167,6 @@
     assert primary_part(simulation).has_capacity_for(large_change(3000))
 
 
-def test_a_single_change_above_the_bound_is_taken_where_nothing_else_is_in_flight() -> None:
+def test_single_change_above_the_bound_is_accepted_when_none_is_in_flight() -> None:
     primary = primary_part(started())
     assert primary.has_capacity_for(Change(ChangeKind.PUT_CONFIGURATION, bytes(2 * MAX_BYTES_IN_FLIGHT)))
--- a/tests/replication/test_replication_membership.py
+++ b/tests/replication/test_replication_membership.py
@@ -64,11 +64,11 @@
 )
 
 WALKS = int(os.environ.get("EXPLORER_WALKS", "40"))
-E = MemberId("10.0.0.5/0")  # a member that no other member knows
-NEW = "10.0.0.9"
-PARTED_STEPS = 60
-FIRST = "10.0.0.1"  # IP address of the first primary
-OLD = "10.0.0.2"  # IP address of the member that `planned_replacement` replaces by default
+UNKNOWN_MEMBER = MemberId("10.0.0.5/0")  # a member that no other member knows
+NEW_MEMBER = "10.0.0.9"
+PARTITION_STEPS = 60
+FIRST_PRIMARY = "10.0.0.1"  # IP address of the first primary
+REPLACED_MEMBER = "10.0.0.2"  # IP address of the member that `planned_replacement` replaces by default
 SIZES = [(3, 1), (5, 2)]
 
 
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize(("machines", "tolerated"), SIZES)
 @pytest.mark.parametrize("leads", [True, False])
-def test_a_member_that_restarts_is_let_go_and_keeps_its_vote(machines: int, tolerated: int, leads: bool) -> None:
+def test_restarting_member_is_released_and_keeps_its_vote(machines: int, tolerated: int, leads: bool) -> None:
     simulation = started(machines, tolerated)
     before = electorate(simulation)
     ip = primary_of(simulation) if leads else others(simulation, primary_of(simulation))[0]
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize(("machines", "tolerated"), SIZES)
-def test_how_long_a_member_waits_to_be_let_go(machines: int, tolerated: int) -> None:
+def test_leaving_member_is_released_in_time(machines: int, tolerated: int) -> None:
     """Between regions, a release takes a view change and one more round trip for the request and its grant."""
     simulation = started(machines, tolerated)
     leave(simulation, primary := primary_of(simulation))
@@ -111,10 +111,10 @@
 
 def test_the_end_of_a_replacement_is_settled_in_a_round_trip() -> None:
     simulation = started()
-    simulation.add(NEW, (primary_of(simulation),))
+    simulation.add(NEW_MEMBER, (primary_of(simulation),))
     simulation.run_between_regions(CATCH_UP_LIMIT_NS)
     primary = member_of(simulation, primary_of(simulation))
-    leave(simulation, others(simulation, primary_of(simulation), NEW)[0])
+    leave(simulation, others(simulation, primary_of(simulation), NEW_MEMBER)[0])
     assert (
         run_until(simulation, lambda: primary.role is Role.PRIMARY and not is_reconfiguration_complete(primary), SECOND)
         is not None
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize(("machines", "tolerated"), SIZES)
-def test_all_restart_in_turn(machines: int, tolerated: int) -> None:
+def test_electorate_stays_the_same_when_all_members_restart_in_turn(machines: int, tolerated: int) -> None:
     simulation = started(machines, tolerated)
     before = electorate(simulation)
     for ip in list(simulation.machines):
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize("leads", [True, False])
-def test_one_of_the_last_two_copies_waits_for_a_third(leads: bool) -> None:
+def test_one_of_the_last_two_replicas_is_released_once_a_third_is_back(leads: bool) -> None:
     """With one of three members down, the view needs both others: a leaving member serves until the third is back."""
     simulation = started()
     down = others(simulation, primary_of(simulation))[0]
@@ -160,7 +160,7 @@
     acknowledge(simulation)
 
 
-def test_nobody_waits_where_all_leave() -> None:
+def test_members_that_all_leave_do_not_wait() -> None:
     simulation = started()
     for ip in simulation.machines:
         leave(simulation, ip)
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize("third_may_lead", [True, False])
-def test_one_that_restarted_long_ago_is_not_taken_for_one_that_leaves(third_may_lead: bool) -> None:
+def test_restarted_member_does_not_count_as_leaving(third_may_lead: bool) -> None:
     """A follower must not end as the last member because of an outdated `Leave` message of the third member.
 
     The last message that the leaving follower received from the third member is the `Leave` before its restart.
@@ -193,7 +193,7 @@
     assert run_until(simulation, is_alone, LEAVE_LIMIT_NS) is None
 
 
-def test_a_member_that_leaves_does_not_stand() -> None:
+def test_leaving_member_does_not_become_a_candidate() -> None:
     simulation = started()
     leaving = primary_of(simulation)
     leave(simulation, leaving)
@@ -203,38 +203,38 @@
     )
 
 
-def test_a_member_that_leaves_is_told_the_view_by_those_that_stay() -> None:
+def test_staying_member_sends_its_view_to_a_leaving_member() -> None:
     simulation = started()
     member = member_of(simulation, others(simulation, primary_of(simulation))[0])
     assert member.state.known_view.view is not None
-    assert Send(E, ViewNotice(member.state.known_view.view, member.state.known_view.in_force)) in member.receive(
-        E, Leave(), simulation.now
-    )
+    assert Send(
+        UNKNOWN_MEMBER, ViewNotice(member.state.known_view.view, member.state.known_view.in_force)
+    ) in member.receive(UNKNOWN_MEMBER, Leave(), simulation.now)
 
 
-def test_spares_are_told_that_the_primary_resigns() -> None:
+def test_spares_are_notified_when_the_primary_resigns() -> None:
     """Spares must say hello as soon as the primary resigns.
 
     The next primary then knows the spares earlier than if the spares had to notice the silence of the old primary.
     """
     simulation = started()
-    simulation.add(NEW, (primary_of(simulation),))
+    simulation.add(NEW_MEMBER, (primary_of(simulation),))
     simulation.run_between_regions(CATCH_UP_LIMIT_NS)
     assert leave_for_good(simulation, primary_of(simulation)) <= 3 * SECOND // 2
 
 
-def test_a_voter_without_a_copy_waits_until_another_has_its_vote() -> None:
+def test_voter_that_is_no_replica_waits_until_another_has_its_vote() -> None:
     simulation = started()
-    simulation.add(NEW, (primary_of(simulation),))
-    leaving = others(simulation, primary_of(simulation), NEW)[0]
+    simulation.add(NEW_MEMBER, (primary_of(simulation),))
+    leaving = others(simulation, primary_of(simulation), NEW_MEMBER)[0]
     simulation.set_healthy(leaving, False)
     simulation.run_between_regions(CATCH_UP_LIMIT_NS)
     assert leaving in electorate(simulation) - copies(simulation)
     leave_for_good(simulation, leaving)
-    assert NEW in electorate(simulation) & copies(simulation)
+    assert NEW_MEMBER in electorate(simulation) & copies(simulation)
 
 
-def test_a_primary_that_leaves_hands_on_in_time_though_it_is_needed() -> None:
+def test_leaving_primary_hands_over_in_time_although_it_is_needed() -> None:
     """With one of three members down, the next primary must use the leaving primary as a replica at once."""
     simulation = started()
     simulation.crash(others(simulation, primary_of(simulation))[0], keep_unsynced=False)
@@ -243,24 +243,24 @@
     assert acknowledge(simulation) <= 3 * SECOND // 2
 
 
-def test_two_that_leave_at_once_are_let_go_one_after_the_other() -> None:
+def test_two_members_that_leave_at_once_are_released_one_after_the_other() -> None:
     simulation = started()
     staying = primary_of(simulation)
     first, second = others(simulation, staying)
     leave(simulation, first)
     leave(simulation, second)
     assert run_until(simulation, lambda: may_end(simulation, first) or may_end(simulation, second), 2 * SECOND) is None
-    simulation.add(NEW, (staying,))
+    simulation.add(NEW_MEMBER, (staying,))
     assert (
         run_until(simulation, lambda: may_end(simulation, first) or may_end(simulation, second), 3 * SECOND) is not None
     )
     assert len(copies(simulation)) == 2
-    gone = first if may_end(simulation, first) else second
-    lose_for_good(simulation, gone)
+    removed = first if may_end(simulation, first) else second
+    lose_for_good(simulation, removed)
     acknowledge(simulation)
 
 
-def test_a_cut_off_member_is_not_let_go() -> None:
+def test_leaving_member_is_not_released_while_cut_off() -> None:
     simulation = started()
     ip = others(simulation, primary_of(simulation))[0]
     for other in others(simulation, ip):
@@ -276,15 +276,15 @@
 
 @pytest.mark.parametrize(("machines", "tolerated"), SIZES)
 @pytest.mark.parametrize("leads", [True, False])
-def test_losses_right_after_a_planned_replacement(machines: int, tolerated: int, leads: bool) -> None:
+def test_losses_right_after_a_planned_replacement_are_tolerated(machines: int, tolerated: int, leads: bool) -> None:
     """Add the new member, end the old one for good by SIGTERM, then lose the tolerated number of members at once."""
     for first_lost in range(machines):
         simulation = started(machines, tolerated)
-        new = simulation.add(NEW, (primary_of(simulation),))
+        new = simulation.add(NEW_MEMBER, (primary_of(simulation),))
         simulation.run_between_regions(CATCH_UP_LIMIT_NS)
         old = primary_of(simulation) if leads else others(simulation, primary_of(simulation))[0]
         leave_for_good(simulation, old)
-        for ip in turned(others(simulation, old), first_lost)[:tolerated]:
+        for ip in rotated(others(simulation, old), first_lost)[:tolerated]:
             lose_for_good(simulation, ip)
         acknowledge(simulation)
         assert new not in simulation.machines or new in copies(simulation)
@@ -292,27 +292,27 @@
 
 @pytest.mark.parametrize(("machines", "tolerated"), SIZES)
 @pytest.mark.parametrize("leads", [True, False])
-def test_losses_as_soon_as_the_successors_have_caught_up(machines: int, tolerated: int, leads: bool) -> None:
+def test_losses_right_after_successors_have_caught_up_are_tolerated(machines: int, tolerated: int, leads: bool) -> None:
     """Lose the tolerated number of members without notice, add successors, then lose the same number again."""
     for first_lost in range(machines):
         simulation = started(machines, tolerated)
-        gone = [primary_of(simulation)] if leads else []
-        gone = [*gone, *others(simulation, primary_of(simulation))][:tolerated]
-        for ip in gone:
+        removed = [primary_of(simulation)] if leads else []
+        removed = [*removed, *others(simulation, primary_of(simulation))][:tolerated]
+        for ip in removed:
             lose_for_good(simulation, ip)
         for number in range(tolerated):
             simulation.add(f"10.0.9.{number}", (others(simulation)[0],))
         simulation.run_between_regions(CATCH_UP_LIMIT_NS)
-        for ip in turned(list(simulation.machines), first_lost)[:tolerated]:
+        for ip in rotated(list(simulation.machines), first_lost)[:tolerated]:
             lose_for_good(simulation, ip)
         acknowledge(simulation)
 
 
-def turned(ips: list[str], count: int) -> list[str]:
+def rotated(ips: list[str], count: int) -> list[str]:
     return ips[count:] + ips[:count]
 
 
-def test_replaced_twice_in_a_row() -> None:
+def test_two_replacements_in_a_row_end_with_complete_electorate() -> None:
     simulation = started()
     for number in range(2):
         simulation.add(f"10.0.9.{number}", (primary_of(simulation),))
@@ -345,7 +345,7 @@
     acknowledge(simulation)
 
 
-def test_the_member_with_the_oldest_disk_is_wiped() -> None:
+def test_last_original_member_rejoins_after_its_disk_is_wiped() -> None:
     """Replace all members but one, and wipe that last original member as soon as the successors have caught up."""
     simulation = started()
     oldest = primary_of(simulation)
@@ -389,11 +389,11 @@
 # --- losses at every event of a replacement ------------------------------------------------------------------------
 
 
-def planned_replacement(simulation: ReplicationSimulation, old: str = OLD) -> Iterator[None]:
+def planned_replacement(simulation: ReplicationSimulation, old: str = REPLACED_MEMBER) -> Iterator[None]:
     """Have `old` leave and remove its machine as soon as it may end; yield after each event, and for 1 s more."""
     leave(simulation, old)
     for _ in every_event(simulation, 4 * SECOND):
-        end_leavers(simulation)
+        remove_released_members(simulation)
         yield
         if old not in simulation.machines:
             for _ in every_event(simulation, SECOND):
@@ -401,15 +401,15 @@
             return
 
 
-def end_leavers(simulation: ReplicationSimulation) -> None:
+def remove_released_members(simulation: ReplicationSimulation) -> None:
     for ip in [machine for machine in simulation.machines if may_end(simulation, machine)]:
         simulation.remove(ip)
 
 
-def ready_to_replace(machines: int = 3, tolerated: int = 1) -> ReplicationSimulation:
+def simulation_before_replacement(machines: int = 3, tolerated: int = 1) -> ReplicationSimulation:
     simulation = ReplicationSimulation(machines, tolerated, seeds=3)
     simulation.run(40)
-    simulation.add(NEW, (primary_of(simulation),))
+    simulation.add(NEW_MEMBER, (primary_of(simulation),))
     simulation.run(20)
     simulation.submit(primary_of(simulation))
     simulation.settle()
@@ -417,30 +417,30 @@
     return simulation
 
 
-def lose_at_every_moment(victim: Callable[[ReplicationSimulation], str], old: str = OLD) -> int:
+def lose_machine_after_every_event(victim: Callable[[ReplicationSimulation], str], old: str = REPLACED_MEMBER) -> int:
     """Replay a replacement up to each event in turn, remove the victim there, and check that the rest recovers.
 
     Return the number of events.
     """
-    total = sum(1 for _ in planned_replacement(ready_to_replace(), old))
-    for moment in range(total):
-        simulation = ready_to_replace()
-        for _ in islice(planned_replacement(simulation, old), moment + 1):
+    total = sum(1 for _ in planned_replacement(simulation_before_replacement(), old))
+    for event in range(total):
+        simulation = simulation_before_replacement()
+        for _ in islice(planned_replacement(simulation, old), event + 1):
             pass
         lost = victim(simulation)
         if lost in simulation.machines:
             simulation.remove(lost)
-        go_on(simulation)
+        check_progress(simulation)
     return total
 
 
-def go_on(simulation: ReplicationSimulation) -> None:
+def check_progress(simulation: ReplicationSimulation) -> None:
     """Check that the remaining machines acknowledge a change in time, and remove leaving machines once they may end."""
     limit = simulation.now + RECOVERY_LIMIT_NS
     tag = None
     while simulation.now < limit:
         simulation.run(1)
-        end_leavers(simulation)
+        remove_released_members(simulation)
         ip = simulation.primary()
         if ip is not None:
             tag = simulation.submit(ip, tag)
@@ -451,86 +451,86 @@
 
 
 VICTIMS: dict[str, Callable[[ReplicationSimulation], str]] = {
-    "the first primary": lambda simulation: FIRST,
-    "whoever leads": lambda simulation: simulation.primary() or "none",
-    "the new one": lambda simulation: NEW,
-    "the other one": lambda simulation: "10.0.0.3",
+    "the first primary": lambda simulation: FIRST_PRIMARY,
+    "the current primary": lambda simulation: simulation.primary() or "none",
+    "the new member": lambda simulation: NEW_MEMBER,
+    "the third member": lambda simulation: "10.0.0.3",
 }
 
 
 @pytest.mark.parametrize("name", VICTIMS)
-@pytest.mark.parametrize("old", [OLD, FIRST])
-def test_one_is_lost_at_every_moment_of_a_planned_replacement(old: str, name: str) -> None:
-    assert lose_at_every_moment(VICTIMS[name], old) > 50
+@pytest.mark.parametrize("old", [REPLACED_MEMBER, FIRST_PRIMARY])
+def test_one_loss_after_any_event_of_a_replacement_is_tolerated(old: str, name: str) -> None:
+    assert lose_machine_after_every_event(VICTIMS[name], old) > 50
 
 
-@pytest.mark.parametrize("old", [OLD, FIRST])
-def test_two_of_five_are_lost_at_moments_of_a_planned_replacement(old: str) -> None:
+@pytest.mark.parametrize("old", [REPLACED_MEMBER, FIRST_PRIMARY])
+def test_two_losses_of_five_during_a_replacement_are_tolerated(old: str) -> None:
     """Lose two other machines after every seventh event of the replacement, another pair each time."""
-    total = sum(1 for _ in planned_replacement(ready_to_replace(5, 2), old))
-    pairs = list(combinations([ip for ip in ready_to_replace(5, 2).machines if ip != old], 2))
+    total = sum(1 for _ in planned_replacement(simulation_before_replacement(5, 2), old))
+    pairs = list(combinations([ip for ip in simulation_before_replacement(5, 2).machines if ip != old], 2))
     assert total > 10 * len(pairs)
-    for moment in range(0, total, 7):
-        simulation = ready_to_replace(5, 2)
-        for _ in islice(planned_replacement(simulation, old), moment + 1):
+    for event in range(0, total, 7):
+        simulation = simulation_before_replacement(5, 2)
+        for _ in islice(planned_replacement(simulation, old), event + 1):
             pass
-        for ip in pairs[moment % len(pairs)]:
+        for ip in pairs[event % len(pairs)]:
             simulation.remove(ip)
-        go_on(simulation)
+        check_progress(simulation)
 
 
-def hear_nothing_more_of_the_primary_at_every_moment() -> None:
+def lose_cut_off_primary_after_every_event() -> None:
     """After each event in turn, cut the primary's messages to the staying members, and remove the primary 0.5 s later.
 
     If the cut begins just before the new electorate is in force, only the primary knows that this electorate is in
     force.
     """
-    total = sum(1 for _ in planned_replacement(ready_to_replace()))
-    for moment in range(total):
-        simulation = ready_to_replace()
+    total = sum(1 for _ in planned_replacement(simulation_before_replacement()))
+    for event in range(total):
+        simulation = simulation_before_replacement()
         primary = primary_of(simulation)
-        telling = planned_replacement(simulation)
-        for _ in islice(telling, moment + 1):
+        replacement = planned_replacement(simulation)
+        for _ in islice(replacement, event + 1):
             pass
-        for ip in others(simulation, primary, OLD):
+        for ip in others(simulation, primary, REPLACED_MEMBER):
             simulation.partition(primary, ip, both_ways=False)
         until = simulation.now + SECOND // 2
-        for _ in telling:
+        for _ in replacement:
             if simulation.now > until:
                 break
         simulation.partitions.clear()
         simulation.remove(primary)
-        go_on(simulation)
+        check_progress(simulation)
 
 
-def test_the_primary_is_lost_unheard_at_every_moment_of_a_planned_replacement() -> None:
-    hear_nothing_more_of_the_primary_at_every_moment()
+def test_loss_of_a_cut_off_primary_during_a_replacement_is_tolerated() -> None:
+    lose_cut_off_primary_after_every_event()
 
 
-def part_at_every_moment(stride: int) -> None:
+def partition_after_events(stride: int) -> None:
     """Partition the first primary and the new member from the other two after every `stride`-th event of a replacement.
 
     Changes are submitted on both sides; the simulation raises an error if the sides acknowledge different histories.
     """
-    total = sum(1 for _ in planned_replacement(ready_to_replace()))
-    for moment in range(0, total, stride):
-        simulation = ready_to_replace()
-        for _ in islice(planned_replacement(simulation), moment + 1):
+    total = sum(1 for _ in planned_replacement(simulation_before_replacement()))
+    for event in range(0, total, stride):
+        simulation = simulation_before_replacement()
+        for _ in islice(planned_replacement(simulation), event + 1):
             pass
-        for ip in others(simulation, FIRST, NEW):
-            simulation.partition(FIRST, ip)
-            simulation.partition(NEW, ip)
-        for _ in range(PARTED_STEPS):
+        for ip in others(simulation, FIRST_PRIMARY, NEW_MEMBER):
+            simulation.partition(FIRST_PRIMARY, ip)
+            simulation.partition(NEW_MEMBER, ip)
+        for _ in range(PARTITION_STEPS):
             simulation.run(1)
             for ip in simulation.machines:
                 if is_leading(simulation, ip):
                     simulation.submit(ip)
         simulation.partitions.clear()
-        go_on(simulation)
+        check_progress(simulation)
 
 
-def test_the_system_is_parted_at_moments_of_a_planned_replacement() -> None:
-    part_at_every_moment(stride=11)
+def test_partition_during_a_replacement_leaves_one_history() -> None:
+    partition_after_events(stride=11)
 
 
 def test_nothing_is_acknowledged_before_the_change_of_the_electorate_is_settled() -> None:
@@ -538,26 +538,26 @@
 
     Settled means that a majority of the new electorate has stored that the new electorate is in force.
     """
-    answered = in_the_open_span()
+    answered = acknowledged_before_settled()
     assert answered == []
 
 
-def in_the_open_span() -> list[str]:
+def acknowledged_before_settled() -> list[str]:
     """Return the changes acknowledged while no majority of the disks has stored the end of the replacement.
 
     The messages that announce the end of the replacement are lost for 0.5 s.
     """
-    simulation = ready_to_replace()
+    simulation = simulation_before_replacement()
     early: list[str] = []
-    ordered_at = 0
+    submitted_at = 0
     lost_until = simulation.now + SECOND // 2
     acknowledged = set(simulation.acknowledged)
     for _ in planned_replacement(simulation):
         if simulation.now < lost_until:
-            lose_packets(simulation, tells_that_it_is_settled)
+            lose_packets(simulation, announces_view_in_force)
         ip = simulation.primary()
-        if ip is not None and simulation.now > ordered_at:
-            ordered_at = simulation.now
+        if ip is not None and simulation.now > submitted_at:
+            submitted_at = simulation.now
             simulation.submit(ip)
         early += [change for change in simulation.acknowledged - acknowledged if not is_settled_on_disks(simulation)]
         acknowledged = set(simulation.acknowledged)
@@ -568,40 +568,40 @@
     view = view_of(simulation)
     if set(view.witnesses) == set(view.previous_witnesses):
         return True
-    told = [
+    confirmed = [
         machine.me
         for machine in simulation.machines.values()
         if machine.durable.accepted is not None
         and machine.durable.accepted.epoch == view.epoch
         and machine.durable.in_force
     ]
-    return 2 * len(set(told) & set(view.witnesses)) > len(view.witnesses)
+    return 2 * len(set(confirmed) & set(view.witnesses)) > len(view.witnesses)
 
 
-def test_the_end_of_a_change_is_asked_for_until_it_is_told() -> None:
+def test_primary_asks_again_until_the_new_view_is_confirmed() -> None:
     """The primary must ask again when the first confirmations of the new view are lost, and then answer its calls."""
-    simulation = ready_to_replace()
+    simulation = simulation_before_replacement()
     lost_until = simulation.now + SECOND
     for _ in planned_replacement(simulation):
         if simulation.now < lost_until:
             lose_packets(simulation, lambda each: isinstance(each.message, Accepted) and each.message.in_force)
-    go_on(simulation)
+    check_progress(simulation)
 
 
 def test_a_new_member_has_the_state_before_it_votes() -> None:
-    new_members_catch_up_first()
+    check_new_members_catch_up_first()
 
 
-def new_members_catch_up_first() -> None:
+def check_new_members_catch_up_first() -> None:
     """Check that in each stored view every new witness holds all acknowledged changes.
 
     `Install` messages to the new member are lost for 0.5 s.
     """
-    simulation = ready_to_replace()
+    simulation = simulation_before_replacement()
     lost_until = simulation.now + SECOND // 2
     for _ in planned_replacement(simulation):
         if simulation.now < lost_until:
-            lose_packets(simulation, lambda each: isinstance(each.message, Install) and each.to_ip == NEW)
+            lose_packets(simulation, lambda each: isinstance(each.message, Install) and each.to_ip == NEW_MEMBER)
         for machine in simulation.machines.values():
             if machine.durable.accepted is not None:
                 check_new_witnesses(simulation, machine.durable.accepted)
@@ -611,7 +611,7 @@
     simulation.packets = [packet for packet in simulation.packets if not is_lost(packet)]
 
 
-def tells_that_it_is_settled(packet: Packet) -> bool:
+def announces_view_in_force(packet: Packet) -> bool:
     """Return True if the packet tells another member than its sender that the view is in force."""
     to_itself = member_ip(packet.sender) == packet.to_ip
     return isinstance(packet.message, Accept) and packet.message.in_force and not to_itself
@@ -632,7 +632,7 @@
 # --- planted faults ------------------------------------------------------------------------------------------------
 
 
-def let_go_at_once(self: Member, sender: MemberId, standbys: Collection[MemberId], now: int) -> list[Action]:
+def release_at_once(self: Member, sender: MemberId, standbys: Collection[MemberId], now: int) -> list[Action]:
     del standbys
     self.state.liveness.record_leaving(sender, now)
     primary = primary_part_of(self)
@@ -641,27 +641,27 @@
     return [Send(sender, LeaveGranted(primary.view.epoch, len(primary.view.replicas)))]
 
 
-def accept_after_the_first(self: Candidate, sender: MemberId, stored: bool, now: int) -> list[Send]:
+def accept_after_first_install(self: Candidate, sender: MemberId, stored: bool, now: int) -> list[Send]:
     return self._enter(Phase.ACCEPTING, now)
 
 
-def without_settled_step() -> mock._patch[bool]:
+def skip_settled_step() -> mock._patch[bool]:
     return mock.patch.object(Primary, "is_reconfiguration_complete", True)
 
 
-def test_a_leaver_that_is_let_go_early_is_found() -> None:
-    with mock.patch.object(Member, "_on_leave", let_go_at_once), pytest.raises(InvariantError):
-        lose_at_every_moment(VICTIMS["the first primary"])
+def test_early_release_of_a_member_is_detected() -> None:
+    with mock.patch.object(Member, "_on_leave", release_at_once), pytest.raises(InvariantError):
+        lose_machine_after_every_event(VICTIMS["the first primary"])
 
 
-def test_a_last_copy_that_is_let_go_early_is_found() -> None:
-    with mock.patch.object(Member, "_on_leave", let_go_at_once), pytest.raises(AssertionError):
-        test_one_of_the_last_two_copies_waits_for_a_third(leads=False)
+def test_early_release_of_one_of_the_last_two_replicas_is_detected() -> None:
+    with mock.patch.object(Member, "_on_leave", release_at_once), pytest.raises(AssertionError):
+        test_one_of_the_last_two_replicas_is_released_once_a_third_is_back(leads=False)
 
 
-def test_a_settled_step_that_is_skipped_is_found() -> None:
-    with without_settled_step(), pytest.raises(InvariantError):
-        hear_nothing_more_of_the_primary_at_every_moment()
+def test_skipped_settled_step_is_detected() -> None:
+    with skip_settled_step(), pytest.raises(InvariantError):
+        lose_cut_off_primary_after_every_event()
 
 
 def quorum_of_the_new_electorate(self: View, votes: Collection[MemberId], in_force: bool) -> bool:
@@ -669,22 +669,22 @@
     return is_majority(votes, self.witnesses)
 
 
-def test_a_change_of_the_electorate_without_the_old_one_is_found() -> None:
+def test_change_of_electorate_without_quorum_of_the_old_one_is_detected() -> None:
     with (
         mock.patch.object(View, "has_quorum", quorum_of_the_new_electorate),
         pytest.raises(InvariantError, match="two histories"),
     ):
-        part_at_every_moment(stride=3)
+        partition_after_events(stride=3)
 
 
-def test_an_answer_before_the_settled_step_is_found() -> None:
-    with without_settled_step():
-        assert in_the_open_span() != []
+def test_answer_before_the_settled_step_is_detected() -> None:
+    with skip_settled_step():
+        assert acknowledged_before_settled() != []
 
 
-def test_a_new_member_that_votes_without_the_state_is_found() -> None:
-    with mock.patch.object(Candidate, "_take_installed", accept_after_the_first), pytest.raises(InvariantError):
-        new_members_catch_up_first()
+def test_new_member_that_votes_without_the_state_is_detected() -> None:
+    with mock.patch.object(Candidate, "_take_installed", accept_after_first_install), pytest.raises(InvariantError):
+        check_new_members_catch_up_first()
 
 
 # --- random walks with members that leave --------------------------------------------------------------------------
@@ -729,10 +729,10 @@
 
 
 @pytest.mark.parametrize("seed", range(WALKS))
-def test_walks_with_members_that_leave(seed: int) -> None:
+def test_random_walks_of_three_with_leaving_members(seed: int) -> None:
     LeavingWalk(seed).run(250)
 
 
 @pytest.mark.parametrize("seed", range(WALKS // 4))
-def test_walks_of_five_with_members_that_leave(seed: int) -> None:
+def test_random_walks_of_five_with_leaving_members(seed: int) -> None:
     LeavingWalk(seed, machines=5, tolerated=2).run(250)
--- a/tests/replication/test_replication_power_loss.py
+++ b/tests/replication/test_replication_power_loss.py
@@ -54,11 +54,11 @@
 
 
 @pytest.mark.parametrize("lost", PAIRS)
-def test_what_was_acknowledged_outlives_lost_disks_and_a_loss_of_power_everywhere(lost: tuple[int, ...]) -> None:
+def test_acknowledged_change_survives_lost_disks_and_power_loss_of_the_others(lost: tuple[int, ...]) -> None:
     lose_disks_after_acknowledgement(lost)
 
 
-def test_an_acknowledgement_before_the_sync_is_found() -> None:
+def test_acknowledgement_before_the_sync_is_detected() -> None:
     unsynced = tuple(message for message in AFTER_SYNC if message is not Appended)
     with mock.patch.object(durability, "AFTER_SYNC", unsynced), pytest.raises(InvariantError):
         for lost in PAIRS:
--- a/tests/replication/test_replication_restarts.py
+++ b/tests/replication/test_replication_restarts.py
@@ -32,9 +32,9 @@
 from canvasbeam.replication.witness import Witness
 from canvasbeam.storage.frames import Updates
 from canvasbeam.storage.store import MAX_LOG_BYTES, Store, open_store
-from tests.replication.test_replication_long_lives import change_many
+from tests.replication.test_replication_long_lives import submit_many
 from tests.replication.test_replication_times import (
-    REJOIN,
+    REJOIN_LIMIT,
     SECOND,
     primary_of,
     started,
@@ -44,7 +44,7 @@
 from tests.support.model_disk import ModelDisk, PowerLostError
 from tests.support.replication_simulation import ReplicationSimulation
 
-HUNDREDS = 300
+MISSED_CHANGES = 300
 
 
 def backups(simulation: ReplicationSimulation) -> list[str]:
@@ -59,9 +59,9 @@
     late = backups(simulation)[0]
     simulation.crash(late, keep_unsynced=False)
     simulation.run_between_regions(2 * SECOND)
-    change_many(simulation, HUNDREDS)
+    submit_many(simulation, MISSED_CHANGES)
     simulation.start(late)
-    time_until_complete(simulation, REJOIN)
+    time_until_complete(simulation, REJOIN_LIMIT)
     simulation.recover()
 
 
@@ -70,7 +70,7 @@
     late, other = backups(simulation)
     simulation.crash(late, keep_unsynced=False)
     simulation.run_between_regions(2 * SECOND)
-    change_many(simulation, HUNDREDS)
+    submit_many(simulation, MISSED_CHANGES)
     simulation.crash(primary_of(simulation), keep_unsynced=False)
     simulation.start(late)
     time_until_acknowledged(simulation, 4 * SECOND)
@@ -78,14 +78,14 @@
     simulation.recover()
 
 
-def test_old_disks_alone_lead_nobody() -> None:
+def test_members_with_outdated_disks_alone_elect_no_primary() -> None:
     """The three of five members that hold the last 300 changes are down: the other two must wait for one of them."""
     simulation = started(machines=5, tolerated=2)
     old = backups(simulation)[:2]
     for ip in old:
         simulation.crash(ip, keep_unsynced=False)
     simulation.run_between_regions(3 * SECOND)
-    change_many(simulation, HUNDREDS)
+    submit_many(simulation, MISSED_CHANGES)
     new = [ip for ip in simulation.machines if ip not in old]
     for ip in new:
         simulation.crash(ip, keep_unsynced=False)
@@ -98,16 +98,16 @@
     simulation.recover()
 
 
-def test_a_member_that_restarts_again_and_again_catches_up_in_the_end() -> None:
+def test_member_that_restarts_repeatedly_catches_up() -> None:
     simulation = started()
     late = backups(simulation)[0]
     for _ in range(5):
         simulation.crash(late, keep_unsynced=False)
         simulation.run_between_regions(SECOND)
-        change_many(simulation, 50)
+        submit_many(simulation, 50)
         simulation.start(late)
         simulation.run_between_regions(SECOND // 5)
-    time_until_complete(simulation, REJOIN)
+    time_until_complete(simulation, REJOIN_LIMIT)
     simulation.recover()
 
 
@@ -115,25 +115,27 @@
 
 
 def test_a_member_that_was_catching_up_does_not_lead_with_old_state() -> None:
-    member_that_was_catching_up_is_left()
+    check_no_primary_without_replicas()
 
 
-def any_source_of_the_epoch(self: Candidate) -> MemberId | None:
+def any_source_of_base_view(self: Candidate) -> MemberId | None:
     """Planted fault: take any member with a state of the base view as source, even one that was only catching up."""
-    usable = {each: it for each, it in self._promises.items() if it.position.epoch >= self.base.epoch}
-    return max(usable, key=lambda each: (usable[each].position.epoch, usable[each].position.index), default=None)
+    usable = {
+        member: promise for member, promise in self._promises.items() if promise.position.epoch >= self.base.epoch
+    }
+    return max(usable, key=lambda member: (usable[member].position.epoch, usable[member].position.index), default=None)
 
 
-def test_an_old_snapshot_that_is_led_with_is_found() -> None:
-    with mock.patch.object(Candidate, "_best_source", any_source_of_the_epoch), pytest.raises(AssertionError):
-        candidate_finds_no_source_but_a_replica()
+def test_leading_with_an_old_snapshot_is_detected() -> None:
+    with mock.patch.object(Candidate, "_best_source", any_source_of_base_view), pytest.raises(AssertionError):
+        check_candidate_waits_for_replica()
 
 
 def test_a_candidate_waits_for_a_replica_of_the_view() -> None:
-    candidate_finds_no_source_but_a_replica()
+    check_candidate_waits_for_replica()
 
 
-def candidate_finds_no_source_but_a_replica() -> None:
+def check_candidate_waits_for_replica() -> None:
     """A candidate with the promises of three of five voters must wait until a replica of the base view promises too.
 
     Of the three voters, one was catching up in the base view, and two have states of an older view.
@@ -162,7 +164,7 @@
     assert candidate.source == two
 
 
-def member_that_was_catching_up_is_left() -> None:
+def check_no_primary_without_replicas() -> None:
     """Check that no member leads after both replicas of a view of five members are lost.
 
     A third member has an old snapshot of that view, and two members with older state return.
@@ -178,13 +180,13 @@
     view = simulation.machines[primary].durable.accepted
     assert view is not None
     assert {member_ip(replica) for replica in view.replicas} == {primary, second}
-    change_many(simulation, 1)
+    submit_many(simulation, 1)
     simulation.set_healthy(third, True)
     while simulation.machines[third].durable.installed != view.epoch:
         simulation.run(1)
     simulation.set_healthy(third, False)  # before this member becomes a replica
     for _ in range(20):
-        change_many(simulation, 1)
+        submit_many(simulation, 1)
         simulation.run(1)
     assert len(simulation.machines[third].durable.state.evacuated_zones) < len(simulation.acknowledged)
     for ip in (primary, second):
@@ -204,7 +206,7 @@
     assert tag in simulation.acknowledged  # the simulation also checks that no acknowledged change is missing
 
 
-def test_a_late_copy_of_an_install_does_not_take_a_replica_back() -> None:
+def test_late_duplicate_of_an_install_does_not_revert_a_replica() -> None:
     epoch = Epoch(4, MemberId("10.0.0.1/0"))
     earlier, later = (ControlState(index=index) for index in (3, 5))
     replica = Replica(apply, epoch, later, 0)
@@ -226,7 +228,7 @@
     return ControlStateCodec(encode_state, decode_state)
 
 
-def states(count: int) -> list[SaveChange]:
+def saved_changes(count: int) -> list[SaveChange]:
     saves: list[SaveChange] = []
     state = ControlState()
     for number in range(count):
@@ -244,12 +246,12 @@
     return store
 
 
-def with_some_changes() -> tuple[ModelDisk, DurableState]:
+def disk_with_changes() -> tuple[ModelDisk, DurableState]:
     disk = ModelDisk()
     store = opened(disk)
     writer = RecordWriter(codec(), store.values)
     store.update(writer.first(ME, DurableState(BEFORE, None, False, BEFORE)))
-    saves = states(5)
+    saves = saved_changes(5)
     for save in saves:
         store.update(writer.updates([save]))
     return disk, DurableState(BEFORE, None, False, BEFORE, saves[-1].state)
@@ -262,25 +264,25 @@
 
 
 @cache
-def updates_to(size: int) -> Updates:
-    writer = RecordWriter(codec(), opened(with_some_changes()[0]).values)
+def snapshot_updates(size: int) -> Updates:
+    writer = RecordWriter(codec(), opened(disk_with_changes()[0]).values)
     return writer.updates([SaveWitness(AFTER, None, False), SaveInstalled(AFTER, newer_state(size))])
 
 
 @pytest.mark.parametrize("operation", range(1, 7))
 @pytest.mark.parametrize("size", [10, MAX_LOG_BYTES + 4096])
-def test_a_snapshot_is_on_the_disk_whole_or_not_at_all(operation: int, size: int) -> None:
+def test_snapshot_is_stored_whole_or_not_at_all_after_power_loss(operation: int, size: int) -> None:
     """A power loss must not leave part of a snapshot on the disk.
 
     A small snapshot is one frame of the log: two disk operations. A large one is a slot and a new log header: four.
     """
     for seed in range(20):
-        disk, before = with_some_changes()
+        disk, before = disk_with_changes()
         store = opened(disk)
         disk.lose_power_at = disk.operations + operation
         finished = True
         try:
-            store.update(updates_to(size))
+            store.update(snapshot_updates(size))
         except PowerLostError:
             finished = False
         left = opened(disk.after_power_loss(random.Random(seed)))
--- a/tests/replication/test_replication_snapshots.py
+++ b/tests/replication/test_replication_snapshots.py
@@ -37,19 +37,19 @@
 from tests.support.slow_links import FIVE_MBIT, SlowLinkSimulation
 
 EPOCH = Epoch(3, MemberId("10.0.0.1/0"))
-PIECE = 100
+CHUNK_SIZE = 100
 CODEC = TagCodec(1000)
 STATE = ControlState(index=2, evacuated_zones=("t1", "t2"))
-LARGE = 4 << 20
-PASSAGE = LARGE * SECOND // FIVE_MBIT  # nanoseconds to send a state of `LARGE` bytes over a slow link
+LARGE_STATE_BYTES = 4 << 20
+TRANSFER_NS = LARGE_STATE_BYTES * SECOND // FIVE_MBIT  # time to send a large state over a slow link
 
 
 def offer_of(source: SnapshotSource, state: ControlState = STATE, epoch: Epoch = EPOCH) -> Install:
     return Install(epoch, Position(epoch, state.index), source.offer(state))
 
 
-def pair() -> tuple[SnapshotSource, SnapshotReceiver]:
-    return SnapshotSource(CODEC, PIECE), SnapshotReceiver(CODEC, PIECE)
+def source_and_receiver() -> tuple[SnapshotSource, SnapshotReceiver]:
+    return SnapshotSource(CODEC, CHUNK_SIZE), SnapshotReceiver(CODEC, CHUNK_SIZE)
 
 
 def chunks_for(source: SnapshotSource, sends: list[Send]) -> list[Chunk]:
@@ -70,21 +70,21 @@
     raise AssertionError("the receiver requests no more chunks although the snapshot is incomplete")
 
 
-def test_a_small_state_goes_whole_and_a_large_one_by_its_id() -> None:
-    assert SnapshotSource(TagCodec(10), PIECE).offer(STATE) is STATE
-    assert isinstance(SnapshotSource(CODEC, PIECE).offer(STATE), SnapshotId)
+def test_small_state_is_offered_whole_and_a_large_one_by_its_id() -> None:
+    assert SnapshotSource(TagCodec(10), CHUNK_SIZE).offer(STATE) is STATE
+    assert isinstance(SnapshotSource(CODEC, CHUNK_SIZE).offer(STATE), SnapshotId)
 
 
-def test_all_pieces_make_the_state_again() -> None:
-    source, receiver = pair()
+def test_all_chunks_together_restore_the_state() -> None:
+    source, receiver = source_and_receiver()
     sends = receiver.take_offer(MemberId("a"), offer_of(source), 0)
     assert len(sends) == INITIAL_CHUNKS_IN_FLIGHT
     assert collect(source, receiver, sends, 0) == replace(offer_of(source), state=STATE)
     assert receiver.received_bytes == 0
 
 
-def test_a_lost_piece_is_asked_for_again_alone() -> None:
-    source, receiver = pair()
+def test_only_the_lost_chunk_is_requested_again() -> None:
+    source, receiver = source_and_receiver()
     sends = receiver.take_offer(MemberId("a"), offer_of(source), 0)
     lost, *others = chunks_for(source, sends)
     for chunk in others:
@@ -111,15 +111,15 @@
         lambda chunk: replace(chunk, snapshot=replace(chunk.snapshot, size=7)),
     ],
 )
-def test_a_damaged_piece_is_not_kept(damage: Damage) -> None:
-    source, receiver = pair()
+def test_damaged_chunk_is_dropped(damage: Damage) -> None:
+    source, receiver = source_and_receiver()
     sends = receiver.take_offer(MemberId("a"), offer_of(source), 0)
     receiver.take_chunk(damage(chunks_for(source, sends)[0]), 0)
     assert receiver.received_bytes == 0
 
 
-def test_pieces_that_do_not_make_the_snapshot_that_was_offered_are_dropped() -> None:
-    source, receiver = pair()
+def test_chunks_that_do_not_form_the_offered_snapshot_are_dropped() -> None:
+    source, receiver = source_and_receiver()
     offer = offer_of(source)
     for chunk in chunks_for(source, receiver.take_offer(MemberId("a"), offer, 0)):
         other = bytes(len(chunk.data))
@@ -130,21 +130,21 @@
     assert collect(source, receiver, receiver.take_offer(MemberId("a"), offer, 0), 0).state == STATE
 
 
-def test_pieces_are_kept_when_another_source_offers_the_same_state() -> None:
-    source, receiver = pair()
+def test_chunks_are_kept_when_another_source_offers_the_same_state() -> None:
+    source, receiver = source_and_receiver()
     for chunk in chunks_for(source, receiver.take_offer(MemberId("a"), offer_of(source), 0)):
         receiver.take_chunk(chunk, 0)
     held = receiver.received_bytes
-    second = SnapshotSource(CODEC, PIECE)
+    second = SnapshotSource(CODEC, CHUNK_SIZE)
     offer = offer_of(second, epoch=replace(EPOCH, number=4))
     sends = receiver.take_offer(MemberId("b"), offer, 0)
-    assert held == INITIAL_CHUNKS_IN_FLIGHT * PIECE == receiver.received_bytes
+    assert held == INITIAL_CHUNKS_IN_FLIGHT * CHUNK_SIZE == receiver.received_bytes
     assert {send.to for send in sends} == {"b"}
     assert collect(second, receiver, sends, 0) == replace(offer, state=STATE)
 
 
-def test_another_state_begins_anew_and_an_older_offer_changes_nothing() -> None:
-    source, receiver = pair()
+def test_newer_offer_restarts_the_transfer_and_an_older_one_is_ignored() -> None:
+    source, receiver = source_and_receiver()
     old = offer_of(source)
     for chunk in chunks_for(source, receiver.take_offer(MemberId("a"), old, 0)):
         receiver.take_chunk(chunk, 0)
@@ -155,16 +155,16 @@
     assert collect(source, receiver, sends, 0).state == newer
 
 
-def test_an_unfinished_snapshot_is_dropped_when_nothing_comes_any_more() -> None:
-    source, receiver = pair()
+def test_incomplete_snapshot_is_dropped_after_the_idle_time() -> None:
+    source, receiver = source_and_receiver()
     for chunk in chunks_for(source, receiver.take_offer(MemberId("a"), offer_of(source), 0)):
         receiver.take_chunk(chunk, 0)
     assert receiver.tick(SNAPSHOT_IDLE_NS + 1) == []
     assert receiver.received_bytes == 0
 
 
-def test_a_source_keeps_few_snapshots() -> None:
-    source = SnapshotSource(CODEC, PIECE)
+def test_source_bounds_its_cached_snapshots() -> None:
+    source = SnapshotSource(CODEC, CHUNK_SIZE)
     for index in range(20):
         source.offer(ControlState(index=index))
     assert len(source._cached) == snapshots.MAX_CACHED_SNAPSHOTS
@@ -178,8 +178,8 @@
 # --- over slow links ----------------------------------------------------------------------------------------------
 
 
-def slow(machines: int = 3, tolerated: int = 1) -> SlowLinkSimulation:
-    simulation = SlowLinkSimulation(machines, tolerated, state_bytes=LARGE)
+def slow_simulation(machines: int = 3, tolerated: int = 1) -> SlowLinkSimulation:
+    simulation = SlowLinkSimulation(machines, tolerated, state_bytes=LARGE_STATE_BYTES)
     simulation.run_between_regions(2 * SECOND)
     time_until_acknowledged(simulation, 2 * SECOND)
     assert is_complete(simulation)
@@ -198,7 +198,7 @@
     return ip
 
 
-def leave_a_backup_behind(simulation: SlowLinkSimulation) -> None:
+def restart_outdated_backup(simulation: SlowLinkSimulation) -> None:
     ip = next(machine for machine in simulation.machines if machine != primary_of(simulation))
     simulation.crash(ip, keep_unsynced=False)
     simulation.run_between_regions(2 * SECOND)
@@ -210,62 +210,62 @@
     ("change_bytes", "steps_between"), [(0, 4), (10_000, 10), (20_000, 2), (50_000, 6), (100_000, 12)]
 )
 @pytest.mark.parametrize("is_new", [True, False])
-def test_changes_go_on_while_a_member_catches_up_over_a_slow_link(
+def test_changes_are_acknowledged_while_a_member_catches_up_over_a_slow_link(
     change_bytes: int, steps_between: int, is_new: bool
 ) -> None:
-    simulation = slow()
+    simulation = slow_simulation()
     if is_new:
         wipe_a_backup(simulation)
     else:
-        leave_a_backup_behind(simulation)
+        restart_outdated_backup(simulation)
     simulation.change_bytes = change_bytes
     simulation.acknowledgement_times_ns.clear()
     simulation.answers.clear()
     began = simulation.now
     while not is_complete(simulation):
-        assert simulation.now - began < 4 * PASSAGE, simulation.describe()
+        assert simulation.now - began < 4 * TRANSFER_NS, simulation.describe()
         simulation.run_with_changes(steps_between * STEP_NS, steps_between)
-    assert simulation.now - began > PASSAGE // 2  # the link limited the transfer
+    assert simulation.now - began > TRANSFER_NS // 2  # the link limited the transfer
     simulation.change_bytes = 0
     simulation.run_between_regions(2 * SECOND)
     assert all(isinstance(answer, Committed) for _, answer in simulation.answers)
-    assert len(simulation.acknowledgement_times_ns) >= PASSAGE // STEP_NS // steps_between - 1
+    assert len(simulation.acknowledgement_times_ns) >= TRANSFER_NS // STEP_NS // steps_between - 1
     assert max(simulation.acknowledgement_times_ns) < SECOND
     simulation.recover()
 
 
-def test_a_snapshot_survives_lost_pieces() -> None:
-    member_joins_although_chunks_are_lost()
+def test_snapshot_transfer_survives_lost_chunks() -> None:
+    check_member_joins_despite_lost_chunks()
 
 
-def test_a_piece_lost_for_ever_is_found() -> None:
+def test_missing_repeat_of_chunk_requests_is_detected() -> None:
     """Planted fault: a chunk that was requested once is never requested again."""
-    never = mock.patch.object(snapshots, "CHUNK_RETRY_NS", 1 << 62)
-    with never, pytest.raises(AssertionError):
-        member_joins_although_chunks_are_lost()
+    without_repeats = mock.patch.object(snapshots, "CHUNK_RETRY_NS", 1 << 62)
+    with without_repeats, pytest.raises(AssertionError):
+        check_member_joins_despite_lost_chunks()
 
 
-def member_joins_although_chunks_are_lost() -> None:
-    simulation = slow()
+def check_member_joins_despite_lost_chunks() -> None:
+    simulation = slow_simulation()
     simulation.lose_one_chunk_in = 9
     wipe_a_backup(simulation)
-    time_until_complete(simulation, 2 * PASSAGE)
+    time_until_complete(simulation, 2 * TRANSFER_NS)
 
 
-def test_a_large_state_is_installed_when_nothing_else_is_left() -> None:
-    the_rest_must_install_a_large_state()
+def test_large_state_is_installed_after_the_loss_of_the_primary() -> None:
+    check_large_state_is_installed()
 
 
-def test_a_stage_that_does_not_wait_for_pieces_is_found() -> None:
+def test_candidate_that_does_not_wait_for_chunks_is_detected() -> None:
     """Planted fault: chunks in flight do not count as progress of a candidate."""
-    stubborn = mock.patch.object(Candidate, "record_progress", lambda self, now: None)
-    with stubborn, pytest.raises(AssertionError):
-        the_rest_must_install_a_large_state()
+    without_progress = mock.patch.object(Candidate, "record_progress", lambda self, now: None)
+    with without_progress, pytest.raises(AssertionError):
+        check_large_state_is_installed()
 
 
-def the_rest_must_install_a_large_state() -> None:
+def check_large_state_is_installed() -> None:
     """The primary is lost while an outdated backup returns: the other backup must install the large state there."""
-    simulation = slow()
+    simulation = slow_simulation()
     primary = primary_of(simulation)
     behind, other = (machine for machine in simulation.machines if machine != primary)
     simulation.crash(behind, keep_unsynced=False)
@@ -275,14 +275,14 @@
     simulation.start(behind)
     simulation.run_between_regions(2 * SECOND)
     before = highest_promise(simulation)
-    time_until_acknowledged(simulation, PASSAGE + 4 * SECOND)
+    time_until_acknowledged(simulation, TRANSFER_NS + 4 * SECOND)
     assert highest_promise(simulation) == before  # one candidacy was enough
     assert simulation.primary() == other
     simulation.recover()
 
 
-def test_the_rest_of_five_keeps_calm_while_one_of_them_is_brought_up_to_date() -> None:
-    simulation = slow(5, 2)
+def test_no_other_candidate_appears_while_one_of_five_members_catches_up() -> None:
+    simulation = slow_simulation(5, 2)
     primary = primary_of(simulation)
     behind, lost, *_ = (machine for machine in simulation.machines if machine != primary)
     for ip in (behind, lost):
@@ -294,12 +294,12 @@
     simulation.start(behind)
     simulation.run_between_regions(2 * SECOND)
     before = highest_promise(simulation)
-    time_until_acknowledged(simulation, PASSAGE + 4 * SECOND)
+    time_until_acknowledged(simulation, TRANSFER_NS + 4 * SECOND)
     assert highest_promise(simulation) == before  # no other member became a candidate meanwhile
 
 
-def test_a_failover_does_not_wait_for_a_member_that_it_can_do_without() -> None:
-    simulation = slow(5, 2)
+def test_failover_does_not_wait_for_an_unneeded_member() -> None:
+    simulation = slow_simulation(5, 2)
     primary = primary_of(simulation)
     behind = next(machine for machine in simulation.machines if machine != primary)
     simulation.crash(behind, keep_unsynced=False)
@@ -313,21 +313,21 @@
     view = simulation.machines[new].durable.accepted
     assert view is not None
     assert simulation.machines[behind].me not in view.replicas
-    simulation.run_between_regions(PASSAGE + 3 * SECOND)
+    simulation.run_between_regions(TRANSFER_NS + 3 * SECOND)
     view = simulation.machines[new].durable.accepted
     assert view is not None
     assert simulation.machines[behind].me in view.replicas
 
 
 @pytest.mark.parametrize("is_new", [True, False])
-def test_a_member_joins_over_a_quick_link_under_many_large_changes(is_new: bool) -> None:
-    simulation = SlowLinkSimulation(state_bytes=LARGE, bytes_a_second=FIVE_MBIT * 200)
+def test_member_joins_over_a_fast_link_under_many_large_changes(is_new: bool) -> None:
+    simulation = SlowLinkSimulation(state_bytes=LARGE_STATE_BYTES, bytes_a_second=FIVE_MBIT * 200)
     simulation.run_between_regions(2 * SECOND)
     time_until_acknowledged(simulation, 2 * SECOND)
     if is_new:
         wipe_a_backup(simulation)
     else:
-        leave_a_backup_behind(simulation)
+        restart_outdated_backup(simulation)
     simulation.change_bytes = 100_000
     began = simulation.now
     while not is_complete(simulation):
@@ -348,8 +348,8 @@
     assert highest_promise(simulation) == before
 
 
-def test_more_pieces_are_asked_for_at_a_time_on_a_quick_link() -> None:
-    simulation = SlowLinkSimulation(state_bytes=LARGE, bytes_a_second=FIVE_MBIT * 200)
+def test_more_chunks_are_requested_at_a_time_on_a_fast_link() -> None:
+    simulation = SlowLinkSimulation(state_bytes=LARGE_STATE_BYTES, bytes_a_second=FIVE_MBIT * 200)
     simulation.run_between_regions(2 * SECOND)
     time_until_acknowledged(simulation, 2 * SECOND)
     wipe_a_backup(simulation)
@@ -359,7 +359,7 @@
 # --- recognition of repeated changes ------------------------------------------------------------------------------
 
 
-def order(number: int) -> Change:
+def configuration_change(number: int) -> Change:
     """Return a change to generation `number`, with the same services each time, so that a digest finds repeats."""
     services = [{"name": f"s{place}", "health_check": f"/{number}/{place}"} for place in range(50)]
     body = json.dumps({"generation": number, "routes": [], "services": services}).encode()
@@ -369,39 +369,39 @@
 def state_after(count: int) -> ControlState:
     state = ControlState()
     for number in range(1, count + 1):
-        outcome = apply(state, order(number))
+        outcome = apply(state, configuration_change(number))
         assert isinstance(outcome, ControlState)
         state = outcome
     return state
 
 
-def passed_in_chunks(state: ControlState, encode: Callable[[ControlState], bytes]) -> ControlState:
+def transferred_in_chunks(state: ControlState, encode: Callable[[ControlState], bytes]) -> ControlState:
     codec = ControlStateCodec(encode, decode_state)
-    source, receiver = SnapshotSource(codec, PIECE), SnapshotReceiver(codec, PIECE)
+    source, receiver = SnapshotSource(codec, CHUNK_SIZE), SnapshotReceiver(codec, CHUNK_SIZE)
     offer = Install(EPOCH, Position(EPOCH, state.index), source.offer(state))
     received = collect(source, receiver, receiver.take_offer(MemberId("a"), offer, 0), 0).state
     assert isinstance(received, ControlState)
     return received
 
 
-def test_a_snapshot_carries_what_decides_repeats() -> None:
-    received = passed_in_chunks(state_after(5), encode_state)
+def test_snapshot_carries_the_keys_of_applied_changes() -> None:
+    received = transferred_in_chunks(state_after(5), encode_state)
     assert received == state_after(5)
     for number in range(1, 6):
-        assert apply(received, order(number)) is received
-    refused = apply(received, replace(order(4), if_match=1))
+        assert apply(received, configuration_change(number)) is received
+    refused = apply(received, replace(configuration_change(4), if_match=1))
     assert isinstance(refused, Failure)
     assert refused.code is ResultCode.CONFIG_STALE_MATCH
 
 
-def test_a_snapshot_without_the_taken_orders_would_refuse_one_that_was_taken() -> None:
+def test_snapshot_without_the_keys_of_applied_changes_refuses_a_repeat() -> None:
     """Planted fault: the snapshot lacks the digests of the changes that were applied."""
-    received = passed_in_chunks(state_after(5), lambda state: encode_state(replace(state, applied_change_keys=())))
-    assert isinstance(apply(received, order(3)), Failure)
+    received = transferred_in_chunks(state_after(5), lambda state: encode_state(replace(state, applied_change_keys=())))
+    assert isinstance(apply(received, configuration_change(3)), Failure)
 
 
 def test_a_backup_is_lost_while_the_third_member_catches_up() -> None:
-    simulation = slow()
+    simulation = slow_simulation()
     primary = primary_of(simulation)
     behind, lost = (machine for machine in simulation.machines if machine != primary)
     simulation.crash(behind, keep_unsynced=False)
@@ -410,5 +410,5 @@
     simulation.start(behind)
     simulation.run_between_regions(SECOND)
     simulation.crash(lost, keep_unsynced=False)
-    time_until_acknowledged(simulation, PASSAGE + 4 * SECOND)
+    time_until_acknowledged(simulation, TRANSFER_NS + 4 * SECOND)
     simulation.recover()
--- a/tests/replication/test_replication_times.py
+++ b/tests/replication/test_replication_times.py
@@ -6,8 +6,8 @@
 from tests.support.replication_simulation import STEP_NS, ReplicationSimulation
 
 SECOND = 1_000_000_000
-FAILOVER = 2 * SECOND
-REJOIN = 3 * SECOND
+FAILOVER_LIMIT = 2 * SECOND
+REJOIN_LIMIT = 3 * SECOND
 
 
 def started(machines: int = 3, tolerated: int = 1, seeds: int = 3) -> ReplicationSimulation:
@@ -60,43 +60,43 @@
     return primary
 
 
-def test_first_start() -> None:
+def test_first_start_acknowledges_a_change_in_time() -> None:
     simulation = ReplicationSimulation()
     time_until_acknowledged(simulation, 2 * SECOND)
 
 
-def test_a_calm_write_takes_one_round_trip() -> None:
+def test_write_without_faults_takes_one_round_trip() -> None:
     simulation = started()
     assert time_until_acknowledged(simulation, SECOND) <= 150_000_000
 
 
-def test_the_primary_loses_power() -> None:
+def test_change_is_acknowledged_after_the_primary_loses_power() -> None:
     simulation = started()
     simulation.crash(primary_of(simulation), keep_unsynced=False)
-    time_until_acknowledged(simulation, FAILOVER)
+    time_until_acknowledged(simulation, FAILOVER_LIMIT)
 
 
-def test_the_primary_is_cut_off_in_one_direction() -> None:
+def test_change_is_acknowledged_after_a_one_way_cut_of_the_primary() -> None:
     for outgoing in (True, False):
         simulation = started()
         primary = primary_of(simulation)
         for ip in simulation.machines:
             if ip != primary:
                 simulation.partition(*((primary, ip) if outgoing else (ip, primary)), both_ways=False)
-        time_until_acknowledged(simulation, FAILOVER)
+        time_until_acknowledged(simulation, FAILOVER_LIMIT)
 
 
-def test_a_backup_loses_power() -> None:
+def test_change_is_acknowledged_after_a_backup_loses_power() -> None:
     simulation = started()
     backup = next(ip for ip in simulation.machines if ip != primary_of(simulation))
     simulation.crash(backup, keep_unsynced=False)
-    time_until_acknowledged(simulation, FAILOVER)
+    time_until_acknowledged(simulation, FAILOVER_LIMIT)
 
 
-def test_the_disk_of_the_primary_stalls() -> None:
+def test_change_is_acknowledged_after_the_disk_of_the_primary_stalls() -> None:
     simulation = started()
     simulation.set_healthy(primary_of(simulation), False)
-    time_until_acknowledged(simulation, FAILOVER)
+    time_until_acknowledged(simulation, FAILOVER_LIMIT)
 
 
 def test_a_wiped_machine_is_a_replica_again() -> None:
@@ -107,10 +107,10 @@
         simulation.wipe(ip)
         simulation.run_between_regions(SECOND)
         simulation.start(ip)
-        time_until_complete(simulation, REJOIN)
+        time_until_complete(simulation, REJOIN_LIMIT)
 
 
-def test_one_is_wiped_while_the_others_lose_power() -> None:
+def test_recovery_after_one_disk_is_wiped_while_the_others_lose_power() -> None:
     simulation = started()
     time_until_acknowledged(simulation, SECOND)
     wiped = primary_of(simulation)
@@ -119,8 +119,8 @@
     simulation.wipe(wiped)
     for ip in simulation.machines:
         simulation.start(ip)
-    time_until_acknowledged(simulation, FAILOVER)
-    time_until_complete(simulation, REJOIN)
+    time_until_acknowledged(simulation, FAILOVER_LIMIT)
+    time_until_complete(simulation, REJOIN_LIMIT)
     simulation.recover()
 
 
@@ -130,10 +130,10 @@
     simulation.crash(backup, keep_unsynced=False)
     simulation.run_between_regions(3 * SECOND)
     simulation.start(backup)
-    time_until_complete(simulation, REJOIN)
+    time_until_complete(simulation, REJOIN_LIMIT)
 
 
-def test_an_empty_machine_at_another_address_takes_the_place_of_one_that_is_gone() -> None:
+def test_empty_machine_at_another_address_replaces_a_removed_one() -> None:
     for seeds_are_old in (True, False):
         simulation = started()
         gone = next(ip for ip in simulation.machines if ip != primary_of(simulation))
@@ -142,20 +142,20 @@
         new = simulation.add(
             "10.0.0.9", simulation.seed_ips if seeds_are_old else ("10.0.0.9", "10.0.0.8", primary_of(simulation))
         )
-        time_until_complete(simulation, REJOIN)
+        time_until_complete(simulation, REJOIN_LIMIT)
         assert member_ip(simulation.machines[new].me) == new
 
 
-def test_five_machines_join_from_three_seeds_and_two_are_lost() -> None:
+def test_five_machines_joined_from_three_seeds_tolerate_two_losses() -> None:
     simulation = started(machines=5, tolerated=2)
     lost = [primary_of(simulation), next(ip for ip in simulation.machines if ip != primary_of(simulation))]
     for ip in lost:
         simulation.crash(ip, keep_unsynced=False)
-    time_until_acknowledged(simulation, FAILOVER)
+    time_until_acknowledged(simulation, FAILOVER_LIMIT)
     for ip in lost:
         simulation.wipe(ip)
         simulation.start(ip)
-    time_until_complete(simulation, REJOIN)
+    time_until_complete(simulation, REJOIN_LIMIT)
 
 
 def test_a_member_left_out_of_a_failover_joins_at_once() -> None:
@@ -167,7 +167,7 @@
     time_until_acknowledged(simulation, SECOND)
     simulation.start(behind)
     simulation.crash(primary, keep_unsynced=False)
-    time_until_acknowledged(simulation, FAILOVER)
+    time_until_acknowledged(simulation, FAILOVER_LIMIT)
     began = simulation.now
     while not is_replica(simulation, behind):
         assert simulation.now - began < SECOND, simulation.describe()
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -24,7 +24,7 @@
     return store
 
 
-def script(length: int) -> list[Updates]:
+def sample_updates(length: int) -> list[Updates]:
     """Return updates of several names, with values of several sizes and with removals."""
     steps: list[Updates] = []
     for number in range(length):
@@ -65,14 +65,14 @@
     monkeypatch.setattr(store_module, "MAX_LOG_RECORDS", 4)
 
 
-def test_an_empty_disk_is_empty() -> None:
+def test_empty_disk_has_no_values() -> None:
     assert dict(opened(ModelDisk()).values) == {}
 
 
 def test_values_survive_on_a_real_folder(tmp_path: Path) -> None:
     store = opened(FolderDisk(tmp_path / "new"))
     expected: Values = {}
-    for updates in script(3 * MAX_LOG_RECORDS):
+    for updates in sample_updates(3 * MAX_LOG_RECORDS):
         assert store.update(updates) is None
         expected = applied(expected, updates)
     assert dict(opened(FolderDisk(tmp_path / "new")).values) == expected
@@ -81,10 +81,10 @@
 
 @pytest.mark.usefixtures("short_log")
 def test_power_loss_at_every_step_keeps_what_was_acknowledged() -> None:
-    steps = script(11)
-    quiet = ModelDisk()
-    run_until_power_loss(quiet, steps)
-    for step in range(1, quiet.operations + 1):
+    steps = sample_updates(11)
+    undisturbed = ModelDisk()
+    run_until_power_loss(undisturbed, steps)
+    for step in range(1, undisturbed.operations + 1):
         disk = ModelDisk()
         disk.lose_power_at = step
         acknowledged, attempted = run_until_power_loss(disk, steps)
@@ -94,22 +94,22 @@
 
 
 @pytest.mark.usefixtures("short_log")
-def test_power_is_lost_again_and_again() -> None:
+def test_repeated_power_loss_keeps_acknowledged_values() -> None:
     for seed in range(150):
         generator = random.Random(seed)
         disk = ModelDisk()
         for _ in range(6):
             before = dict(opened(disk).values)
             disk.lose_power_at = disk.operations + generator.randrange(1, 40)
-            acknowledged, attempted = run_until_power_loss(disk, script(generator.randrange(1, 12)), before)
+            acknowledged, attempted = run_until_power_loss(disk, sample_updates(generator.randrange(1, 12)), before)
             disk = disk.after_power_loss(generator) if generator.random() < 0.7 else disk.after_kill()
             assert dict(opened(disk.after_kill()).values) in (acknowledged, attempted)
 
 
 @pytest.mark.usefixtures("short_log")
-def test_what_a_killed_process_left_is_synced_before_it_is_read() -> None:
+def test_unsynced_writes_of_a_killed_process_are_synced_before_they_are_read() -> None:
     disk = ModelDisk()
-    acknowledged, attempted = run_until_power_loss(disk, script(2))
+    acknowledged, attempted = run_until_power_loss(disk, sample_updates(2))
     disk.lose_power_at = disk.operations + 1
     with pytest.raises(PowerLostError):
         opened_again = opened_without_steps(disk)
@@ -138,7 +138,7 @@
         disk = ModelDisk()
         store = opened(disk)
         acknowledged: Values = {}
-        for updates in script(20):
+        for updates in sample_updates(20):
             disk.is_full = generator.random() < 0.4
             wanted = applied(dict(store.values), updates)
             failure = store.update(updates)
@@ -152,7 +152,7 @@
             assert dict(opened(left).values) == acknowledged
 
 
-def test_a_disk_that_cannot_be_opened_is_not_an_empty_one() -> None:
+def test_disk_that_cannot_be_opened_does_not_count_as_empty() -> None:
     disk = ModelDisk()
     disk.is_full = True
     failure = open_store(disk)
@@ -165,7 +165,7 @@
     """Flip every byte except in the last frame of the log, where damage looks like an append that never finished."""
     for length in (1, 4, 9, 13):
         disk = ModelDisk()
-        acknowledged, _ = run_until_power_loss(disk, script(length))
+        acknowledged, _ = run_until_power_loss(disk, sample_updates(length))
         last = last_frame_offset(disk)
         for name in (*SLOT_FILES, LOG_FILE):
             for position in range(disk.size(name)):
@@ -191,13 +191,13 @@
 
 
 @pytest.mark.usefixtures("short_log")
-def test_a_missing_sync_is_caught() -> None:
+def test_missing_sync_is_detected() -> None:
     """Planted fault: without syncs, at least one power loss must lose an acknowledged update."""
     lost = 0
     for seed in range(30):
         disk = ModelDisk()
         disk.ignore_syncs = True
-        acknowledged, _ = run_until_power_loss(disk, script(7))
+        acknowledged, _ = run_until_power_loss(disk, sample_updates(7))
         found = open_store(disk.after_power_loss(random.Random(seed)))
         lost += isinstance(found, Failure) or dict(found.values) != acknowledged
     assert lost > 0
