--- a/tests/leases/test_contact_cuts.py
+++ b/tests/leases/test_contact_cuts.py
@@ -264,7 +264,7 @@
 def test_paused_control_node_has_no_contact_until_a_new_request_is_granted() -> None:
     network, controls, _ = fleet()
     contact = controls[0].core.distribution.lease
-    network.run_until(lambda: bool(contact._requests), 300 * MS)  # the grants arrive during the freeze
+    network.run_until(lambda: bool(contact._requests), 300 * MS)  # lease grants then arrive while the process is frozen
     network.freeze(controls[0], 4 * SECOND)
     frozen_at = network.now
     network.run(4 * SECOND + MS)
@@ -456,7 +456,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 25))
 def test_edge_retries_failed_parent_candidates_when_no_other_is_left(seed: int) -> None:
-    """An edge must try parent candidates that failed before again when no other candidate is left.
+    """An edge must retry parent candidates that failed earlier when no other candidate is left.
 
     The edge is cut off from all nodes for 2 s; right after it has found a parent again, that parent receives nothing
     from the other control nodes.
--- a/tests/leases/test_contact_walks.py
+++ b/tests/leases/test_contact_walks.py
@@ -35,7 +35,7 @@
     versions: list[int] = field(default_factory=list)
 
     def watch(self, control: Host) -> None:
-        """Record each configuration that this control node adopts."""
+        """Record each configuration that this control node adopts from now on."""
 
         def record(items: Sequence[Item]) -> None:
             for item in items:
--- a/tests/replication/test_replication_membership.py
+++ b/tests/replication/test_replication_membership.py
@@ -277,7 +277,7 @@
 @pytest.mark.parametrize(("machines", "tolerated"), SIZES)
 @pytest.mark.parametrize("leads", [True, False])
 def test_losses_right_after_a_planned_replacement_are_tolerated(machines: int, tolerated: int, leads: bool) -> None:
-    """Add the new member, end the old one for good by SIGTERM, then lose the tolerated number of members at once."""
+    """Add a new member, end an old member for good by SIGTERM, then lose the tolerated number of members at once."""
     for first_lost in range(machines):
         simulation = started(machines, tolerated)
         new = simulation.add(NEW_MEMBER, (primary_of(simulation),))
@@ -390,7 +390,7 @@
 
 
 def planned_replacement(simulation: ReplicationSimulation, old: str = REPLACED_MEMBER) -> Iterator[None]:
-    """Have `old` leave and remove its machine as soon as it may end; yield after each event, and for 1 s more."""
+    """Have member `old` leave, and remove its machine once the member may end; yield after each event, for 1 s more."""
     leave(simulation, old)
     for _ in every_event(simulation, 4 * SECOND):
         remove_released_members(simulation)
@@ -418,7 +418,7 @@
 
 
 def lose_machine_after_every_event(victim: Callable[[ReplicationSimulation], str], old: str = REPLACED_MEMBER) -> int:
-    """Replay a replacement up to each event in turn, remove the victim there, and check that the rest recovers.
+    """Replay a replacement up to each event in turn, remove the victim there, and check that the others recover.
 
     Return the number of events.
     """
@@ -435,7 +435,7 @@
 
 
 def check_progress(simulation: ReplicationSimulation) -> None:
-    """Check that the remaining machines acknowledge a change in time, and remove leaving machines once they may end."""
+    """Check that a change is acknowledged within `RECOVERY_LIMIT_NS`; remove leaving machines once they may end."""
     limit = simulation.now + RECOVERY_LIMIT_NS
     tag = None
     while simulation.now < limit:
--- a/tests/replication/test_replication_snapshots.py
+++ b/tests/replication/test_replication_snapshots.py
@@ -225,7 +225,7 @@
     while not is_complete(simulation):
         assert simulation.now - began < 4 * TRANSFER_NS, simulation.describe()
         simulation.run_with_changes(steps_between * STEP_NS, steps_between)
-    assert simulation.now - began > TRANSFER_NS // 2  # the link limited the transfer
+    assert simulation.now - began > TRANSFER_NS // 2  # the slow link determined the duration of the transfer
     simulation.change_bytes = 0
     simulation.run_between_regions(2 * SECOND)
     assert all(isinstance(answer, Committed) for _, answer in simulation.answers)
@@ -276,7 +276,7 @@
     simulation.run_between_regions(2 * SECOND)
     before = highest_promise(simulation)
     time_until_acknowledged(simulation, TRANSFER_NS + 4 * SECOND)
-    assert highest_promise(simulation) == before  # one candidacy was enough
+    assert highest_promise(simulation) == before  # a single candidacy was enough for the failover
     assert simulation.primary() == other
     simulation.recover()
 
@@ -360,7 +360,7 @@
 
 
 def configuration_change(number: int) -> Change:
-    """Return a change to generation `number`, with the same services each time, so that a digest finds repeats."""
+    """Return a change to configuration `number`: service names are always the same, so only a digest finds repeats."""
     services = [{"name": f"s{place}", "health_check": f"/{number}/{place}"} for place in range(50)]
     body = json.dumps({"generation": number, "routes": [], "services": services}).encode()
     return Change(ChangeKind.PUT_CONFIGURATION, body, number - 1)
