--- a/tests/leases/test_contact_cuts.py
+++ b/tests/leases/test_contact_cuts.py
@@ -176,7 +176,7 @@
     network.cut(cut, rest)
     network.run(CONTACT_TIMEOUT + 10 * MS)
     assert not any(is_in_contact(network, node) for node in cut)
-    assert all(is_in_contact(network, entry) for entry in rest)
+    assert all(is_in_contact(network, control) for control in rest)
     item = network.publish(rest[0], 1)
     assert (
         network.run_until(lambda: network.have([*rest, *edges], item), 3 * SECOND) <= REPARENT_LIMIT - CONTACT_TIMEOUT
@@ -387,9 +387,9 @@
     network.lose_power(controls[0])
     network.lose_power(controls[1])
     network.run(2 * SECOND)
-    assert not any(is_in_contact(network, item) for item in later)
+    assert not any(is_in_contact(network, control) for control in later)
     set_electorates(network, later, later)
-    network.run_until(lambda: all(is_in_contact(network, item) for item in later), 500 * MS)
+    network.run_until(lambda: all(is_in_contact(network, control) for control in later), 500 * MS)
 
 
 # --- writes to a majority -------------------------------------------------------------------------
--- a/tests/replication/test_replication_snapshots.py
+++ b/tests/replication/test_replication_snapshots.py
@@ -53,9 +53,9 @@
 
 
 def chunks_for(source: SnapshotSource, sends: list[Send]) -> list[Chunk]:
-    wanted = [send.message for send in sends]
-    assert all(isinstance(name, FetchChunk) for name in wanted)
-    found = [source.chunk(name) for name in wanted if isinstance(name, FetchChunk)]
+    requests = [send.message for send in sends]
+    assert all(isinstance(request, FetchChunk) for request in requests)
+    found = [source.chunk(request) for request in requests if isinstance(request, FetchChunk)]
     return [chunk for chunk in found if chunk is not None]
 
 
@@ -90,11 +90,11 @@
     for chunk in others:
         receiver.take_chunk(chunk, 0)
     more = receiver.tick(CHUNK_RETRY_NS - 1)
-    assert FetchChunk(lost.snapshot, lost.number) not in [entry.message for entry in more]
+    assert FetchChunk(lost.snapshot, lost.number) not in [send.message for send in more]
     for chunk in chunks_for(source, more):
         receiver.take_chunk(chunk, CHUNK_RETRY_NS - 1)
     again = receiver.tick(CHUNK_RETRY_NS)
-    assert FetchChunk(lost.snapshot, lost.number) in [repeat.message for repeat in again]
+    assert FetchChunk(lost.snapshot, lost.number) in [send.message for send in again]
     assert collect(source, receiver, again, CHUNK_RETRY_NS).state == STATE
 
 
