--- a/tests/leases/test_contact_walks.py
+++ b/tests/leases/test_contact_walks.py
@@ -1,7 +1,7 @@
-"""Random walks through cuts, stalls, pauses, slow links and restarts: what contact promises holds at every step.
+"""Random walks through cut, stalled and slow links, pauses and restarts, which check the contact lease at every step.
 
-Who has a contact instant holds every configuration that a majority of the control nodes held at that instant. Each
-machine has a monotonic clock of its own.
+Invariant: a node with a contact instant holds every configuration that a majority of the control nodes held at that
+instant. Each machine has a monotonic clock of its own.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass
 class History:
-    """Since when a majority of the control nodes holds which configuration."""
+    """Records the time from which a majority of the control nodes holds each configuration."""
 
     network: Network
     holders: dict[int, set[str]] = field(default_factory=dict)
@@ -35,17 +35,17 @@
     versions: list[int] = field(default_factory=list)
 
     def watch(self, control: Host) -> None:
-        """Note what this control node adopts."""
+        """Record each configuration that this control node adopts from now on."""
 
-        def note(items: Sequence[Item]) -> None:
+        def record(items: Sequence[Item]) -> None:
             for item in items:
                 if item.kind is CONFIGURATION:
                     self._adopted(control, item.version)
 
-        control.core.table.add_listener(note)
+        control.core.table.add_listener(record)
 
     def majority_at(self, time: int) -> int:
-        """The newest configuration that a majority held then."""
+        """Return the newest configuration that a majority of the control nodes held at `time`; 0 if there is none."""
         count = bisect_right(self.times, time)
         return max(self.versions[:count], default=0)
 
@@ -59,7 +59,7 @@
 
 
 class Walk:
-    """One network and its history; `check` is the invariant."""
+    """A simulated network with its history of configurations; `check` asserts the invariant on every node."""
 
     def __init__(self, seed: int) -> None:
         self.network = Network(seed=seed, datagram_loss=0.02)
@@ -93,15 +93,15 @@
         self.published += 1
         self.network.publish(host, self.published, size=100)
 
-    # --- trouble --------------------------------------------------------------------------------
+    # --- faults ---------------------------------------------------------------------------------
 
     def cut(self, one: Host, other: Host) -> None:
         self.network.cut([one], [other])
 
-    def mute(self, one: Host, other: Host) -> None:
+    def cut_outgoing(self, one: Host, other: Host) -> None:
         self.network.cut([one], self.hosts)
 
-    def deafen(self, one: Host, other: Host) -> None:
+    def cut_incoming(self, one: Host, other: Host) -> None:
         self.network.cut(self.hosts, [one])
 
     def stall(self, one: Host, other: Host) -> None:
@@ -110,7 +110,7 @@
     def stall_all(self, one: Host, other: Host) -> None:
         self.network.stall([one], self.hosts)
 
-    def choke(self, one: Host, other: Host) -> None:
+    def add_delay(self, one: Host, other: Host) -> None:
         self.network.choke(one, 400 * MS)
 
     def freeze(self, one: Host, other: Host) -> None:
@@ -126,19 +126,19 @@
         self.network.release()
         self.network.choke(one, 0)
 
-    def end_troubles(self) -> None:
+    def end_faults(self) -> None:
         for host in self.hosts:
             self.heal(host, host)
 
 
-TROUBLES: list[Callable[[Walk, Host, Host], None]] = [
-    Walk.cut, Walk.mute, Walk.deafen, Walk.stall, Walk.stall_all, Walk.choke, Walk.freeze, Walk.restart, Walk.heal,
-    Walk.heal,
+FAULT_ACTIONS: list[Callable[[Walk, Host, Host], None]] = [
+    Walk.cut, Walk.cut_outgoing, Walk.cut_incoming, Walk.stall, Walk.stall_all, Walk.add_delay, Walk.freeze,
+    Walk.restart, Walk.heal, Walk.heal,
 ]  # fmt: skip
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(TROUBLES),
+        st.sampled_from(FAULT_ACTIONS),
         st.integers(0, CONTROLS + EDGES - 1),
         st.integers(0, CONTROLS + EDGES - 1),
         st.integers(0, CONTROLS - 1),
@@ -152,41 +152,41 @@
 Steps = list[tuple[Callable[[Walk, Host, Host], None], int, int, int, int]]
 
 
-def walk_through(seed: int, steps: Steps) -> None:
-    """Go through these troubles, with a change after each; at the end all is well and all agree."""
+def run_walk(seed: int, steps: Steps) -> None:
+    """Inject each fault and publish a change after it; then end all faults and check that all nodes agree."""
     walk = Walk(seed)
-    for trouble, one, other, publisher, span in steps:
-        trouble(walk, walk.hosts[one], walk.hosts[other])
+    for inject_fault, one, other, publisher, span in steps:
+        inject_fault(walk, walk.hosts[one], walk.hosts[other])
         walk.publish(walk.controls[publisher])
         walk.run(span * 100 * MS)
-    walk.end_troubles()
+    walk.end_faults()
     walk.run(6 * SECOND)
     item = Item(CONFIGURATION, "current", Version(walk.published), bytes(100))
     assert walk.network.have(walk.hosts, item)
     assert all(host.core.has_majority(host.clock(walk.network.now)) for host in walk.hosts)
 
 
-def many_walks(count: int) -> Callable[[], None]:
-    """The same walks each time."""
-    walks = given(seed=st.integers(0, 1 << 16), steps=STEPS)(walk_through)
+def random_walks(count: int) -> Callable[[], None]:
+    """Return a function that runs `count` random walks, the same walks at each run."""
+    walks = given(seed=st.integers(0, 1 << 16), steps=STEPS)(run_walk)
     return settings(max_examples=count, deadline=None, derandomize=True, phases=[Phase.generate])(walks)
 
 
-def test_who_is_in_contact_holds_what_the_majority_held() -> None:
-    many_walks(40)()
+def test_node_in_contact_holds_the_configurations_of_the_majority() -> None:
+    random_walks(40)()
 
 
 @pytest.mark.parametrize(
-    "plant",
+    "inject_fault",
     [
-        faults.contact_from_what_is_heard,
+        faults.contact_from_received_messages,
         faults.lease_counted_from_receipt,
         faults.keepalive_counted_from_receipt,
         faults.versions_not_compared,
     ],
-    ids=lambda plant: str(plant.__name__),
+    ids=lambda inject_fault: str(inject_fault.__name__),
 )
-def test_walks_find_a_planted_fault(plant: faults.Plant, monkeypatch: pytest.MonkeyPatch) -> None:
-    plant(monkeypatch)
+def test_walks_find_a_planted_fault(inject_fault: faults.FaultInjection, monkeypatch: pytest.MonkeyPatch) -> None:
+    inject_fault(monkeypatch)
     with pytest.raises(AssertionError):
-        many_walks(400)()
+        random_walks(400)()
