--- a/tests/control_plane/test_caller_watch.py
+++ b/tests/control_plane/test_caller_watch.py
@@ -1,6 +1,7 @@
-"""A late copy of an order, with the end of its connection behind it, has no effect: over real sockets on loopback.
+"""A delayed copy of a state-changing request has no effect if the client has disconnected: real sockets on loopback.
 
-Client and server share a thread: while the client's calls block, the server stands still, as a frozen process does.
+Client and server share one thread: while the client makes a blocking call, the server does not run, which simulates a
+stalled server process.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 
 
 class Site:
-    """A server whose only endpoint counts the calls that have an effect."""
+    """HTTP server with one endpoint, which records the method of each request that reaches the endpoint's handler."""
 
     def __init__(self, needs_caller: bool = True) -> None:
         self.handled: list[str] = []
@@ -62,7 +63,7 @@
             self.ended.set()
 
     def client(self) -> socket.socket:
-        """Connect without giving the server a turn."""
+        """Connect with a blocking call, so that the event loop of the server does not run meanwhile."""
         return socket.create_connection(("127.0.0.1", self.server.port))
 
 
@@ -82,7 +83,11 @@
 
 @WAYS
 def test_copy_read_after_its_caller_has_gone_has_no_effect(leave: Leaves) -> None:
-    """The process was frozen, or the copy was held up on the way: both lie in the kernel."""
+    """Guards against executing a delayed request after its client has timed out and disconnected.
+
+    The server finds the request and the disconnection together in the kernel's receive buffer, because the server
+    process was stalled or because the network delayed both.
+    """
 
     async def body(site: Site) -> None:
         client = site.client()
@@ -102,7 +107,7 @@
 def test_caller_that_leaves_while_the_process_stands_still_after_reading_is_noticed(
     leave: Leaves, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(web, "CALLER_END_S", 0.0)  # it is over when the process goes on
+    monkeypatch.setattr(web, "CALLER_END_S", 0.0)  # the wait for a disconnection expires during the stall
 
     async def body(site: Site) -> None:
         client = site.client()
@@ -128,7 +133,7 @@
 
 
 def test_without_the_watch_the_late_copy_has_its_effect() -> None:
-    """What the first test would see otherwise."""
+    """Shows that the tests above can fail: without `needs_caller`, a disconnected client's request is executed."""
 
     async def body(site: Site) -> None:
         client = site.client()
--- a/tests/control_plane/test_change_check.py
+++ b/tests/control_plane/test_change_check.py
@@ -1,4 +1,4 @@
-"""Large orders are checked beside the event loop, and applied without a second check."""
+"""Large configuration changes are checked in a thread outside the event loop and applied without a second check."""
 
 from __future__ import annotations
 
--- a/tests/control_plane/test_changes.py
+++ b/tests/control_plane/test_changes.py
@@ -1,4 +1,4 @@
-"""The operator's changes: every form of an invalid one, races, patches, and orders that come again."""
+"""Applying an operator's changes to the control state: invalid, concurrent and repeated changes, and patches."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def taken(state: ControlState, *changes: Change) -> ControlState:
-    """The state after changes that must all be taken."""
+    """Return the state after `changes`; fail the test if a change is rejected."""
     for change in changes:
         result = apply(state, change)
         assert isinstance(result, ControlState), result
@@ -207,7 +207,10 @@
 
 
 def test_match_of_a_version_that_is_not_known_yet_is_left_open() -> None:
-    """It may come, and then a late copy of the order would be taken though the order was refused."""
+    """Guards against reporting a change as rejected for good although a delayed copy can still be accepted.
+
+    The configuration may still reach the generation that `If-Match` names, and the delayed copy then matches.
+    """
     for if_match in (8, 9):
         assert code(CONFIGURED, put(edited(unchanged), if_match)) is ResultCode.CONFIG_UNKNOWN_MATCH
         assert code(CONFIGURED, patch({"generation": 12}, if_match)) is ResultCode.CONFIG_UNKNOWN_MATCH
@@ -421,7 +424,11 @@
 
 
 def test_keys_of_an_earlier_release_are_dropped() -> None:
-    """Read as keys they would name any version, and leave every order open."""
+    """Guards against decoding the 12-byte digests of an earlier release as change keys.
+
+    The first 8 bytes of such a digest would be read as an arbitrary generation. If that generation is high, every new
+    change fails with the open outcome `CONFIG_FORGOTTEN`.
+    """
     digests = tuple(bytes([255]) * 8 + number.to_bytes(4) for number in range(MAX_APPLIED_CHANGE_KEYS))
     state = decode_state(encode_state(replace(CONFIGURED, applied_change_keys=digests)))
     assert isinstance(state, ControlState)
--- a/tests/control_plane/test_control_program.py
+++ b/tests/control_plane/test_control_program.py
@@ -1,4 +1,4 @@
-"""The control process on loopback: what it serves, and that it ends in order; and what it publishes."""
+"""The control-plane process on loopback: its HTTP servers, its shutdown, and the publication of committed states."""
 
 from __future__ import annotations
 
@@ -105,7 +105,7 @@
 
 
 class Publishing:
-    """Keeps what is published, as a node's table does."""
+    """Fake `ItemPublisher` that merges published items into a table and records the items that the table accepted."""
 
     def __init__(self) -> None:
         self.table = ItemTable()
--- a/tests/control_plane/test_evacuation_fence.py
+++ b/tests/control_plane/test_evacuation_fence.py
@@ -1,4 +1,7 @@
-"""An evacuation order that may be a late copy is not acted on: the rule alone, and over real sockets on loopback."""
+"""An evacuation request that may be a delayed copy of an older request has no effect.
+
+Tests `EvacuationFence` alone, and the operator's API over real sockets on loopback.
+"""
 
 from __future__ import annotations
 
@@ -42,7 +45,7 @@
 
 
 class Client:
-    """One connection of a caller."""
+    """HTTP client that sends all its requests over one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader = reader
--- a/tests/control_plane/test_heartbeats.py
+++ b/tests/control_plane/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""The body of a worker's heartbeat: what is taken and what is refused."""
+"""Parsing the body of a worker's heartbeat: accepted and refused values of the fields."""
 
 from __future__ import annotations
 
--- a/tests/control_plane/test_member_records.py
+++ b/tests/control_plane/test_member_records.py
@@ -1,4 +1,4 @@
-"""What a member stores, and how it is found at the next start."""
+"""The records that a replication member stores on disk, and the member that the next start loads from the records."""
 
 from __future__ import annotations
 
--- a/tests/control_plane/test_operator_api.py
+++ b/tests/control_plane/test_operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's API over ASGI, with a control state that is played by the test."""
+"""The operator's HTTP API over ASGI, with a fake of the replicated control state."""
 
 from __future__ import annotations
 
@@ -33,7 +33,10 @@
 
 
 class FakeService:
-    """Applies changes at once, or fails, or waits, as the test says."""
+    """Fake of the replicated control state.
+
+    A change or read waits for `gate` if set, and then returns `failure` if set; otherwise a change is applied at once.
+    """
 
     def __init__(self) -> None:
         self.state = ControlState()
@@ -77,7 +80,7 @@
 
 
 class Answered:
-    """What the app sent."""
+    """The HTTP response that the ASGI app sent."""
 
     def __init__(self, messages: list[Message]) -> None:
         start = messages[0]
@@ -91,7 +94,7 @@
 
 
 class Caller:
-    """Calls the API as hypercorn does."""
+    """Client that calls the API with the ASGI events that hypercorn would send."""
 
     def __init__(self) -> None:
         self.service = FakeService()
@@ -334,7 +337,11 @@
 
 
 def test_evacuation_joins_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An earlier one may have been replicated before another primary took it back; this one must be confirmed anew."""
+    """Guards against answering an evacuation request with the outcome of an earlier, still pending request.
+
+    Another primary may have reverted the earlier evacuation after its replication, so each evacuation request needs a
+    confirmation of its own.
+    """
     monkeypatch.setattr(operator_api, "ANSWER_WITHIN_S", 0.0)
 
     async def body(caller: Caller) -> None:
--- a/tests/control_plane/test_registry.py
+++ b/tests/control_plane/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry over HTTP at several control nodes, on a network that is played by the test."""
+"""The worker registry's HTTP handler at several control nodes, which a simulated network connects."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass
 class Network:
-    """Control nodes, one a zone; those that are cut off reach nobody."""
+    """Simulated network of control nodes, one in each zone; a node in `cut_off` can reach no other node."""
 
     now_ns: int = 0
     nodes: list[FakeNode] = field(default_factory=list)
@@ -36,7 +36,7 @@
         return one == other or not {one, other} & self.cut_off
 
     def advance(self, milliseconds: int) -> None:
-        """Let time pass in steps of the registry's tick."""
+        """Advance the clock in steps of the registry's tick (500 ms), and run a tick of every node at each step."""
         for _ in range(milliseconds // 500):
             self.now_ns += 500 * MS
             for node in self.nodes:
@@ -45,14 +45,14 @@
 
 @dataclass
 class FakeNode:
-    """What the registry needs of a cluster node, and its transport."""
+    """Fake of a cluster node and of the node's transport, as far as the registry uses them."""
 
     network: Network
     member: Member
     table: ItemTable = field(default_factory=ItemTable)
     callbacks: dict[Channel, Callable[[PeerInfo, bytes], None]] = field(default_factory=dict)
     live: list[Member] = field(default_factory=list)
-    may_write: bool = True  # whether a majority answers to writes
+    may_write: bool = True  # False: `write` fails, as if no majority of the control nodes had confirmed
 
     def __post_init__(self) -> None:
         settings = ProcessSettings(
@@ -109,7 +109,7 @@
         return self.call("PUT", worker_id, json.dumps(document | fields).encode())
 
     def worker(self, worker_id: str) -> Worker | None:
-        """The worker as this node's table has it; none where it left or is not known."""
+        """Return the worker from this node's table, or None if the worker has left or is unknown."""
         item = self.table.get(ItemKind.WORKER, worker_id)
         if item is None or item.deleted:
             return None
@@ -219,7 +219,7 @@
 
 
 def record_missing(network: Network) -> list[str]:
-    """Return a list that takes the id of each worker that any node publishes as missing, from now on."""
+    """Return a list that grows by a worker's id whenever a node's table receives the worker as missing."""
     missing: list[str] = []
 
     def on_items(items: Sequence[Item]) -> None:
@@ -234,7 +234,7 @@
 
 
 def heartbeats_before_the_registrar_ends(network: Network, receiver: FakeNode) -> None:
-    """Let a worker live for long enough that its first publication alone would not keep it from being missing."""
+    """Send heartbeats for 10 s, so that a worker's first publication alone cannot keep the worker `READY`."""
     for sequence in range(1, 11):
         receiver.heartbeat("i-1", sequence)
         network.advance(1000)
@@ -248,10 +248,10 @@
 def test_planned_end_of_the_registrar_makes_no_live_worker_missing(
     receiver: int, successor_learns: int, other_learns: int, worker_turns_to: int, ticks_in_order: bool
 ) -> None:
-    """Regression: the successor applied the time-out to workers of whose heartbeats it had never been told.
+    """Regression: a new registrar applied the time-out to workers whose heartbeats only the old registrar knew.
 
-    The two nodes that stay learn of the end some half seconds later, each in its own, and the worker turns to one of
-    them with its next heartbeat.
+    Each of the two remaining nodes learns of the registrar's stop after a delay of 0 to 2 ticks of 500 ms, and the
+    worker sends its next heartbeat to one of the two nodes.
     """
     network = make_network("z1", "z2", "z3")
     heartbeats_before_the_registrar_ends(network, network.nodes[receiver])
@@ -277,7 +277,7 @@
     heartbeats_before_the_registrar_ends(network, network.nodes[0])
     missing = record_missing(network)
     network.nodes.pop(0)
-    if is_planned:  # the others learn of it at once; else they miss its announcements first
+    if is_planned:  # the other nodes learn of a planned stop at once, and of a crash only by missing announcements
         for node in network.nodes:
             node.live = [other.member for other in network.nodes]
     network.advance(1500 + 3500)
@@ -298,7 +298,10 @@
 
 @pytest.mark.parametrize("end", ["draining", "DELETE"])
 def test_the_end_of_a_worker_is_acknowledged_only_when_a_majority_holds_it(end: str) -> None:
-    """The lease may be valid still: it says nothing of what is published now."""
+    """Guards against acknowledging the end of a worker because the node's contact lease is still valid.
+
+    A valid lease does not show that a majority of the control nodes has stored what the node publishes now.
+    """
     network = make_network("z1", "z2", "z3")
     first, second, third = network.nodes
 
@@ -311,7 +314,7 @@
     first.may_write = False
     assert say(first, 2) == 503
     assert first.heartbeat("i-2", 1).status == 200
-    assert say(first, 3) == 503  # nothing new to publish, and still nobody is known to hold it
+    assert say(first, 3) == 503  # nothing new to publish, but no majority has confirmed the first publication
     first.may_write = True
     for node in (second, third):
         node.table.forget(ItemKind.WORKER, "i-1")
--- a/tests/control_plane/test_replicated_snapshots.py
+++ b/tests/control_plane/test_replicated_snapshots.py
@@ -1,4 +1,4 @@
-"""A large configuration passes in pieces over real sockets on loopback to a machine whose disk was lost."""
+"""A node that lost its disk receives a large configuration in chunks, over real sockets on loopback."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def count_pieces(node: Node) -> list[int]:
-    """Sizes of the pieces that a node sends from now on."""
+    """Return a list of the sizes, in bytes, of the chunks that the node sends; the list grows with each chunk."""
     sizes: list[int] = []
     codec = ReplicationCodec(ControlStateCodec(encode_state, decode_state))
     send = node.transport.send
--- a/tests/control_plane/test_replicated_state.py
+++ b/tests/control_plane/test_replicated_state.py
@@ -1,4 +1,4 @@
-"""The driver of replication over real sockets on loopback, and its disk worker. Nothing here waits by sleeping."""
+"""`ReplicatedControlState` over real sockets on loopback, and `DiskWorker`. Tests wait for events and never sleep."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Node:
-    """One member with its transport, and events for what it tells."""
+    """One replication member with its transport; reports each committed state and each change of the primary."""
 
     def __init__(self, ip: str, port: int, disk: Disk, bootstrap: bool) -> None:
         self.settings = ProcessSettings(
@@ -72,7 +72,7 @@
 
 
 class System:
-    """Some nodes; `until` waits for their events."""
+    """The running nodes; `until` checks a condition again after each event of a node."""
 
     def __init__(self) -> None:
         self.port = free_port()
@@ -85,7 +85,7 @@
         return node
 
     def wake(self) -> None:
-        """Something happened: conditions are looked at again."""
+        """Make `until` check its condition again."""
         self._event.set()
 
     async def stop(self, ip: str) -> None:
@@ -104,7 +104,7 @@
         return ip != other_than and self.nodes[ip].service.is_primary
 
     async def evacuate(self, zone: str) -> ControlState:
-        """Order until it is acknowledged, as the operator does."""
+        """Submit the evacuation until a primary commits it, like an operator who retries."""
         while True:
             node = await self.primary()
             result = await node.service.submit(Change(ChangeKind.START_EVACUATION, zone=zone))
@@ -253,7 +253,7 @@
         disk = system.nodes[damaged].disk
         assert isinstance(disk, ModelDisk)
         await system.stop(damaged)
-        flipped = disk.flip("slot-1", 60)  # the only slot that was written yet
+        flipped = disk.flip("slot-1", 60)  # "slot-1" is the only slot written so far
         node = await system.start(damaged, flipped, bootstrap=True)
         await system.evacuate("south")
         result = await node.service.submit(Change(ChangeKind.START_EVACUATION, zone="east"))
@@ -282,7 +282,7 @@
 
 
 class StallingDisk(ModelDisk):
-    """Syncs wait for a permission."""
+    """Model disk whose syncs block until the test allows them, for at most `LIMIT_SECONDS`."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/control_plane/test_replication_codec.py
+++ b/tests/control_plane/test_replication_codec.py
@@ -1,4 +1,4 @@
-"""Messages of replication as bytes, and back."""
+"""Encoding and decoding replication messages, and compressing large data."""
 
 from __future__ import annotations
 
--- a/tests/control_plane/test_worker_snapshot.py
+++ b/tests/control_plane/test_worker_snapshot.py
@@ -1,4 +1,4 @@
-"""The workers on a control node's disk: what a next start takes of them, and what it leaves."""
+"""The worker snapshot on a control node's disk: which workers a restart restores, and which snapshots it ignores."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Node:
-    """A node's table, without other nodes."""
+    """Fake of a cluster node: an item table that is connected to no other node."""
 
     def __init__(self) -> None:
         self.table = ItemTable()
