--- a/tests/control_plane/test_caller_watch.py
+++ b/tests/control_plane/test_caller_watch.py
@@ -19,27 +19,27 @@
 from canvasbeam.runtime.settings import Address
 
 POST = b"POST /v1/evacuate/z1 HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"
-Leaves = Callable[[socket.socket], None]
+Disconnect = Callable[[socket.socket], None]
 
 
-def closes(client: socket.socket) -> None:
+def close_connection(client: socket.socket) -> None:
     client.close()
 
 
-def resets(client: socket.socket) -> None:
+def reset_connection(client: socket.socket) -> None:
     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     client.close()
 
 
-WAYS = pytest.mark.parametrize("leave", [closes, resets])
+EACH_DISCONNECT = pytest.mark.parametrize("disconnect", [close_connection, reset_connection])
 
 
-class Site:
+class RecordingServer:
     """HTTP server with one endpoint, which records the method of each request that reaches the endpoint's handler."""
 
     def __init__(self, needs_caller: bool = True) -> None:
         self.handled: list[str] = []
-        self.ended = asyncio.Event()
+        self.request_ended = asyncio.Event()
         self.on_receive: Callable[[int], None] = lambda number: None
         self._app = WebApp([Endpoint("/v1/evacuate/", self._handle, lambda: 4096, needs_caller)])
         self.server = HttpServer(self._serve, Address("127.0.0.1", 0))
@@ -51,49 +51,49 @@
     async def _serve(self, scope: Scope, receive: Receive, send: Send) -> None:
         count = 0
 
-        async def counted() -> Message:
+        async def counting_receive() -> Message:
             nonlocal count
             count += 1
             self.on_receive(count)
             return await receive()
 
         try:
-            await self._app(scope, counted, send)
+            await self._app(scope, counting_receive, send)
         finally:
-            self.ended.set()
+            self.request_ended.set()
 
-    def client(self) -> socket.socket:
+    def connect(self) -> socket.socket:
         """Connect with a blocking call, so that the event loop of the server does not run meanwhile."""
         return socket.create_connection(("127.0.0.1", self.server.port))
 
 
-def run(test: Callable[[Site], Awaitable[None]], needs_caller: bool = True) -> Site:
-    async def body() -> Site:
-        site = Site(needs_caller)
-        assert await site.server.start() is None
+def run(test: Callable[[RecordingServer], Awaitable[None]], needs_caller: bool = True) -> RecordingServer:
+    async def body() -> RecordingServer:
+        recorder = RecordingServer(needs_caller)
+        assert await recorder.server.start() is None
         try:
             async with asyncio.timeout(10):
-                await test(site)
+                await test(recorder)
         finally:
-            await site.server.close()
-        return site
+            await recorder.server.close()
+        return recorder
 
     return asyncio.run(body())
 
 
-@WAYS
-def test_copy_read_after_its_caller_has_gone_has_no_effect(leave: Leaves) -> None:
+@EACH_DISCONNECT
+def test_request_read_after_client_disconnected_has_no_effect(disconnect: Disconnect) -> None:
     """Guards against executing a delayed request after its client has timed out and disconnected.
 
     The server finds the request and the disconnection together in the kernel's receive buffer, because the server
     process was stalled or because the network delayed both.
     """
 
-    async def body(site: Site) -> None:
-        client = site.client()
+    async def body(recorder: RecordingServer) -> None:
+        client = recorder.connect()
         client.sendall(POST)
-        leave(client)
-        other = site.client()
+        disconnect(client)
+        other = recorder.connect()
         other.sendall(POST.replace(b"POST", b"DELETE"))
         loop = asyncio.get_running_loop()
         other.setblocking(False)
@@ -103,25 +103,25 @@
     assert run(body).handled == ["DELETE"]
 
 
-@WAYS
-def test_caller_that_leaves_while_the_process_stands_still_after_reading_is_noticed(
-    leave: Leaves, monkeypatch: pytest.MonkeyPatch
+@EACH_DISCONNECT
+def test_disconnect_during_stall_after_reading_request_is_noticed(
+    disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(web, "CALLER_END_S", 0.0)  # the wait for a disconnection expires during the stall
 
-    async def body(site: Site) -> None:
-        client = site.client()
+    async def body(recorder: RecordingServer) -> None:
+        client = recorder.connect()
         client.sendall(POST)
-        whole_body = 2
-        site.on_receive = lambda number: leave(client) if number == whole_body else None
-        await site.ended.wait()
+        first_receive_after_body = 2
+        recorder.on_receive = lambda number: disconnect(client) if number == first_receive_after_body else None
+        await recorder.request_ended.wait()
 
     assert run(body).handled == []
 
 
-def test_caller_that_waits_is_answered() -> None:
-    async def body(site: Site) -> None:
-        client = site.client()
+def test_waiting_client_is_answered() -> None:
+    async def body(recorder: RecordingServer) -> None:
+        client = recorder.connect()
         client.setblocking(False)
         loop = asyncio.get_running_loop()
         for _ in range(2):
@@ -132,13 +132,13 @@
     assert run(body).handled == ["POST", "POST"]
 
 
-def test_without_the_watch_the_late_copy_has_its_effect() -> None:
+def test_without_watch_request_of_disconnected_client_has_effect() -> None:
     """Shows that the tests above can fail: without `needs_caller`, a disconnected client's request is executed."""
 
-    async def body(site: Site) -> None:
-        client = site.client()
+    async def body(recorder: RecordingServer) -> None:
+        client = recorder.connect()
         client.sendall(POST)
         client.close()
-        await site.ended.wait()
+        await recorder.request_ended.wait()
 
     assert run(body, needs_caller=False).handled == ["POST"]
--- a/tests/control_plane/test_change_check.py
+++ b/tests/control_plane/test_change_check.py
@@ -30,7 +30,7 @@
     }  # fmt: skip
 
 
-def order(routes: int, generation: int = 3) -> Change:
+def configuration_change(routes: int, generation: int = 3) -> Change:
     document = {
         "generation": generation,
         "routes": [route(number) for number in range(routes)],
@@ -40,32 +40,32 @@
     return Change(ChangeKind.PUT_CONFIGURATION, json.dumps(document).encode(), 0)
 
 
-def test_a_checked_order_leads_to_the_same_state() -> None:
-    state = apply(ControlState(), order(3))
+def test_prechecked_change_yields_same_state() -> None:
+    state = apply(ControlState(), configuration_change(3))
     assert isinstance(state, ControlState)
-    assert apply_checked(ControlState(), order(3)) == state
+    assert apply_checked(ControlState(), configuration_change(3)) == state
     patch = Change(
         ChangeKind.PATCH_CONFIGURATION, json.dumps({"generation": 4, "upsert": {"routes": [route(9)]}}).encode(), 3
     )
     assert apply_checked(state, patch) == apply(state, patch) != state
 
 
-def test_what_depends_on_the_state_is_checked_all_the_same() -> None:
-    state = apply(ControlState(), order(3))
+def test_prechecked_change_is_still_checked_against_state() -> None:
+    state = apply(ControlState(), configuration_change(3))
     assert isinstance(state, ControlState)
-    assert isinstance(apply_checked(state, order(4, generation=9)), Failure)
+    assert isinstance(apply_checked(state, configuration_change(4, generation=9)), Failure)
 
 
-def test_a_large_order_is_checked_in_another_thread_and_once() -> None:
+def test_large_change_is_checked_once_in_another_thread() -> None:
     threads: list[threading.Thread] = []
 
-    def noting(state: ControlState, change: Change) -> ControlState | Failure:
+    def recording_apply(state: ControlState, change: Change) -> ControlState | Failure:
         threads.append(threading.current_thread())
         return apply(state, change)
 
     async def work() -> None:
-        check = ChangeCheck(noting, apply_checked)
-        large, small = order(LARGE_BYTES // 100), order(1)
+        check = ChangeCheck(recording_apply, apply_checked)
+        large, small = configuration_change(LARGE_BYTES // 100), configuration_change(1)
         await check.begin(ControlState(), large)
         await check.begin(ControlState(), small)
         assert len(threads) == 1
@@ -80,7 +80,7 @@
     asyncio.run(work())
 
 
-def test_an_invalid_large_order_is_refused_where_it_is_applied() -> None:
+def test_invalid_large_change_is_refused_when_applied() -> None:
     async def work() -> None:
         check = ChangeCheck(apply, apply_checked)
         invalid = Change(ChangeKind.PUT_CONFIGURATION, b"[" * LARGE_BYTES, 0)
@@ -90,7 +90,7 @@
     asyncio.run(work())
 
 
-def test_an_own_pause_is_not_the_silence_of_others() -> None:
+def test_own_stall_does_not_make_other_members_unresponsive() -> None:
     liveness = MemberLiveness(ReplicationTiming())
     liveness.record_message(MemberId("10.0.0.2/0"), 0)
     liveness.discount_stall(3 * SECOND)
--- a/tests/control_plane/test_changes.py
+++ b/tests/control_plane/test_changes.py
@@ -51,7 +51,7 @@
     return Change(ChangeKind.END_EVACUATION, zone=zone)
 
 
-def taken(state: ControlState, *changes: Change) -> ControlState:
+def apply_all(state: ControlState, *changes: Change) -> ControlState:
     """Return the state after `changes`; fail the test if a change is rejected."""
     for change in changes:
         result = apply(state, change)
@@ -60,7 +60,7 @@
     return state
 
 
-def code(state: ControlState, change: Change) -> ResultCode:
+def failure_code(state: ControlState, change: Change) -> ResultCode:
     result = apply(state, change)
     assert isinstance(result, Failure), result
     return result.code
@@ -77,17 +77,17 @@
     pass
 
 
-CONFIGURED = taken(ControlState(), put(CONFIGURATION, 0))
+CONFIGURED = apply_all(ControlState(), put(CONFIGURATION, 0))
 
 
-def test_first_configuration_is_taken_whole() -> None:
+def test_first_configuration_is_stored_unchanged() -> None:
     assert CONFIGURED.index == CONFIGURED.configuration_index == 1
     assert CONFIGURED.generation == 7
     assert CONFIGURED.configuration == CONFIGURATION
 
 
 def test_next_configuration_builds_on_the_current_one() -> None:
-    state = taken(CONFIGURED, put(edited(unchanged, 12), 7))
+    state = apply_all(CONFIGURED, put(edited(unchanged, 12), 7))
     assert (state.generation, state.index, state.configuration_index) == (12, 2, 2)
 
 
@@ -168,12 +168,12 @@
     document = edited(edit)
     if expected is ResultCode.CONFIG_OLD_GENERATION:
         document["routes"][0]["timeout_ms"] = 1234
-    assert code(CONFIGURED, put(document, 7)) is expected
+    assert failure_code(CONFIGURED, put(document, 7)) is expected
 
 
 @pytest.mark.parametrize("field", ["generation", "routes", "services"])
-def test_configuration_without_a_part_is_refused(field: str) -> None:
-    assert code(CONFIGURED, put(edited(lambda document: document.pop(field)), 7)) is ResultCode.CONFIG_SCHEMA
+def test_configuration_without_required_field_is_refused(field: str) -> None:
+    assert failure_code(CONFIGURED, put(edited(lambda document: document.pop(field)), 7)) is ResultCode.CONFIG_SCHEMA
 
 
 @pytest.mark.parametrize(
@@ -183,148 +183,148 @@
         b"\xff\xfe\x00", b'{"generation": 9} trailing', b"[" * 100_000, b"[" * 500 + b"]" * 500,
         b'{"a":' * 101 + b"1" + b"}" * 101,
     ],
-    ids=["empty", "brace", "cut_short", "nan", "infinite", "not_text", "trailing", "unclosed", "deep", "deep_object"],
+    ids=["empty", "brace", "truncated", "nan", "infinite", "not_utf8", "trailing", "unclosed", "deep", "deep_object"],
 )  # fmt: skip
-def test_body_that_cannot_be_read_whole_is_refused(body: bytes) -> None:
-    assert code(CONFIGURED, put(body, 7)) is ResultCode.CONFIG_UNREADABLE
+def test_unreadable_body_is_refused(body: bytes) -> None:
+    assert failure_code(CONFIGURED, put(body, 7)) is ResultCode.CONFIG_UNREADABLE
 
 
-def test_every_cut_of_a_configuration_is_refused() -> None:
+def test_every_truncated_configuration_is_refused() -> None:
     body = json.dumps(edited(unchanged)).encode()
     for length in range(len(body)):
-        assert code(CONFIGURED, put(body[:length], 7)) is ResultCode.CONFIG_UNREADABLE
+        assert failure_code(CONFIGURED, put(body[:length], 7)) is ResultCode.CONFIG_UNREADABLE
 
 
 @pytest.mark.parametrize("body", [b"7", b'"text"', b"[]", b"null", b"{}"])
-def test_document_of_another_form_is_refused(body: bytes) -> None:
-    assert code(CONFIGURED, put(body, 7)) is ResultCode.CONFIG_SCHEMA
-    assert code(CONFIGURED, Change(ChangeKind.PATCH_CONFIGURATION, body, 7)) is ResultCode.CONFIG_SCHEMA
+def test_document_of_wrong_structure_is_refused(body: bytes) -> None:
+    assert failure_code(CONFIGURED, put(body, 7)) is ResultCode.CONFIG_SCHEMA
+    assert failure_code(CONFIGURED, Change(ChangeKind.PATCH_CONFIGURATION, body, 7)) is ResultCode.CONFIG_SCHEMA
 
 
 def test_stale_match_is_refused() -> None:
     for if_match in (0, 5, 6):
-        assert code(CONFIGURED, put(edited(unchanged), if_match)) is ResultCode.CONFIG_STALE_MATCH
+        assert failure_code(CONFIGURED, put(edited(unchanged), if_match)) is ResultCode.CONFIG_STALE_MATCH
 
 
-def test_match_of_a_version_that_is_not_known_yet_is_left_open() -> None:
+def test_change_on_future_generation_has_open_outcome() -> None:
     """Guards against reporting a change as rejected for good although a delayed copy can still be accepted.
 
     The configuration may still reach the generation that `If-Match` names, and the delayed copy then matches.
     """
     for if_match in (8, 9):
-        assert code(CONFIGURED, put(edited(unchanged), if_match)) is ResultCode.CONFIG_UNKNOWN_MATCH
-        assert code(CONFIGURED, patch({"generation": 12}, if_match)) is ResultCode.CONFIG_UNKNOWN_MATCH
-    early = put(edited(unchanged, 12), 9)
-    assert code(CONFIGURED, early) in OPEN_FAILURES
-    assert taken(CONFIGURED, put(edited(unchanged, 9), 7), early).generation == 12
+        assert failure_code(CONFIGURED, put(edited(unchanged), if_match)) is ResultCode.CONFIG_UNKNOWN_MATCH
+        assert failure_code(CONFIGURED, patch({"generation": 12}, if_match)) is ResultCode.CONFIG_UNKNOWN_MATCH
+    early_change = put(edited(unchanged, 12), 9)
+    assert failure_code(CONFIGURED, early_change) in OPEN_FAILURES
+    assert apply_all(CONFIGURED, put(edited(unchanged, 9), 7), early_change).generation == 12
 
 
-def test_first_of_two_changes_on_one_version_wins() -> None:
+def test_first_of_two_changes_on_one_generation_wins() -> None:
     first = put(edited(set_route(timeout_ms=1000)), 7)
     second = put(edited(set_route(timeout_ms=2000)), 7)
-    state = taken(CONFIGURED, first)
-    assert code(state, second) is ResultCode.CONFIG_STALE_MATCH
+    state = apply_all(CONFIGURED, first)
+    assert failure_code(state, second) is ResultCode.CONFIG_STALE_MATCH
     assert state.configuration is not None
     assert state.configuration["routes"][0]["timeout_ms"] == 1000
 
 
-def test_taken_order_is_acknowledged_again() -> None:
-    order = put(CONFIGURATION, 0)
-    assert apply(CONFIGURED, order) is CONFIGURED
-    later = taken(CONFIGURED, put(edited(unchanged), 7), evacuate("z"))
-    assert apply(later, order) is later
+def test_repeated_change_is_acknowledged_again() -> None:
+    change = put(CONFIGURATION, 0)
+    assert apply(CONFIGURED, change) is CONFIGURED
+    later = apply_all(CONFIGURED, put(edited(unchanged), 7), evacuate("z"))
+    assert apply(later, change) is later
 
 
-def test_taken_order_is_acknowledged_again_by_a_replica_that_took_over() -> None:
+def test_repeated_change_is_acknowledged_again_after_failover() -> None:
     change = patch({"generation": 9, "remove": {"routes": ["r-split"]}}, 7)
-    state = taken(CONFIGURED, change, put(edited(unchanged, 10), 9))
+    state = apply_all(CONFIGURED, change, put(edited(unchanged, 10), 9))
     successor = decode_state(encode_state(state))
     assert isinstance(successor, ControlState)
     assert apply(successor, change) is successor
     assert apply(successor, put(CONFIGURATION, 0)) is successor
 
 
-def test_refused_order_stays_refused_when_it_comes_again() -> None:
+def test_repeated_stale_change_stays_refused() -> None:
     refused = put(edited(set_route(timeout_ms=2000)), 5)
-    assert code(CONFIGURED, refused) is ResultCode.CONFIG_STALE_MATCH
-    assert code(taken(CONFIGURED, put(edited(unchanged), 7)), refused) is ResultCode.CONFIG_STALE_MATCH
+    assert failure_code(CONFIGURED, refused) is ResultCode.CONFIG_STALE_MATCH
+    assert failure_code(apply_all(CONFIGURED, put(edited(unchanged), 7)), refused) is ResultCode.CONFIG_STALE_MATCH
 
 
-def test_same_order_on_another_version_is_another_order() -> None:
+def test_same_document_on_another_generation_is_another_change() -> None:
     document = edited(set_route(timeout_ms=2000))
-    assert code(CONFIGURED, put(document, 5)) is ResultCode.CONFIG_STALE_MATCH
-    assert taken(CONFIGURED, put(document, 7)).generation == 9
+    assert failure_code(CONFIGURED, put(document, 5)) is ResultCode.CONFIG_STALE_MATCH
+    assert apply_all(CONFIGURED, put(document, 7)).generation == 9
 
 
 REORDERED = dict(reversed(CONFIGURATION.items()))
 
 
-def test_current_configuration_is_acknowledged_whatever_its_bytes() -> None:
-    order = put(REORDERED, 0)
-    state = taken(CONFIGURED, order)
+def test_current_configuration_with_other_key_order_is_acknowledged() -> None:
+    change = put(REORDERED, 0)
+    state = apply_all(CONFIGURED, change)
     assert state.configuration == CONFIGURATION
     assert state.configuration_index == CONFIGURED.configuration_index
     assert (state.generation, state.index) == (7, 2)
-    assert apply(state, order) is state
+    assert apply(state, change) is state
 
 
-def test_order_acknowledged_by_its_equal_configuration_is_never_refused_later() -> None:
-    order = put(REORDERED, 0)
-    state = taken(CONFIGURED, order, put(edited(unchanged), 7))
-    assert apply(state, order) is state
+def test_change_acknowledged_as_current_configuration_is_not_refused_later() -> None:
+    change = put(REORDERED, 0)
+    state = apply_all(CONFIGURED, change, put(edited(unchanged), 7))
+    assert apply(state, change) is state
 
 
-def test_current_configuration_on_another_version_is_no_second_winner_of_that_version() -> None:
-    state = taken(CONFIGURED, put(edited(unchanged, 9), 7), put(edited(unchanged, 12), 9))
+def test_current_configuration_on_another_generation_is_refused() -> None:
+    state = apply_all(CONFIGURED, put(edited(unchanged, 9), 7), put(edited(unchanged, 12), 9))
     document = edited(unchanged, 12)
-    assert code(state, put(document, 7)) is ResultCode.CONFIG_STALE_MATCH
-    assert code(state, put(document, 0)) is ResultCode.CONFIG_STALE_MATCH
-    assert code(state, put(document, 12)) is ResultCode.CONFIG_OLD_GENERATION
-    assert code(CONFIGURED, put(REORDERED, 7)) is ResultCode.CONFIG_OLD_GENERATION
+    assert failure_code(state, put(document, 7)) is ResultCode.CONFIG_STALE_MATCH
+    assert failure_code(state, put(document, 0)) is ResultCode.CONFIG_STALE_MATCH
+    assert failure_code(state, put(document, 12)) is ResultCode.CONFIG_OLD_GENERATION
+    assert failure_code(CONFIGURED, put(REORDERED, 7)) is ResultCode.CONFIG_OLD_GENERATION
 
 
-def test_put_and_patch_of_one_outcome_on_one_version_are_one_configuration() -> None:
+def test_put_and_patch_with_same_result_are_both_acknowledged() -> None:
     by_patch = patch({"generation": 9}, 7)
     by_put = put(edited(unchanged, 9), 7)
-    state = taken(CONFIGURED, by_patch, by_put)
+    state = apply_all(CONFIGURED, by_patch, by_put)
     assert apply(state, by_patch) is state
     assert apply(state, by_put) is state
 
 
-def test_configuration_that_only_python_counts_as_equal_is_not_the_current_one() -> None:
+def test_configuration_equal_in_python_but_not_in_json_is_not_the_current_one() -> None:
     document = copy.deepcopy(CONFIGURATION)
     document["routes"][0]["sticky"] = 1
-    assert code(CONFIGURED, put(document, 0)) is ResultCode.CONFIG_STALE_MATCH
+    assert failure_code(CONFIGURED, put(document, 0)) is ResultCode.CONFIG_STALE_MATCH
 
 
-def test_item_that_only_python_counts_as_equal_is_checked() -> None:
+def test_item_equal_in_python_but_not_in_json_is_checked() -> None:
     document = edited(set_route(retries=2.0, priority=False))
-    assert code(CONFIGURED, put(document, 7)) is ResultCode.CONFIG_SCHEMA
+    assert failure_code(CONFIGURED, put(document, 7)) is ResultCode.CONFIG_SCHEMA
 
 
-def test_other_configuration_under_the_current_generation_is_refused() -> None:
+def test_different_configuration_with_current_generation_is_refused() -> None:
     other = edited(set_route(timeout_ms=2000), generation=7)
-    assert code(CONFIGURED, put(other, 7)) is ResultCode.CONFIG_OLD_GENERATION
-    assert code(CONFIGURED, put(other, 0)) is ResultCode.CONFIG_STALE_MATCH
+    assert failure_code(CONFIGURED, put(other, 7)) is ResultCode.CONFIG_OLD_GENERATION
+    assert failure_code(CONFIGURED, put(other, 0)) is ResultCode.CONFIG_STALE_MATCH
 
 
-def test_taken_orders_are_bounded() -> None:
+def test_applied_change_keys_are_bounded() -> None:
     digests = tuple(number.to_bytes(12) for number in range(MAX_APPLIED_CHANGE_KEYS))
     full = ControlState(index=1, generation=7, configuration=CONFIGURATION, applied_change_keys=digests)
-    state = taken(full, put(edited(unchanged), 7))
+    state = apply_all(full, put(edited(unchanged), 7))
     assert len(state.applied_change_keys) == MAX_APPLIED_CHANGE_KEYS
     assert state.applied_change_keys[:-1] == digests[1:]
 
 
-def test_order_too_old_to_be_remembered_is_left_open() -> None:
+def test_change_older_than_kept_keys_has_open_outcome() -> None:
     state = CONFIGURED
     for generation in range(8, 8 + MAX_APPLIED_CHANGE_KEYS):
-        state = taken(state, patch({"generation": generation}, generation - 1))
-    assert code(state, put(CONFIGURATION, 0)) is ResultCode.CONFIG_FORGOTTEN
+        state = apply_all(state, patch({"generation": generation}, generation - 1))
+    assert failure_code(state, put(CONFIGURATION, 0)) is ResultCode.CONFIG_FORGOTTEN
     assert ResultCode.CONFIG_FORGOTTEN in OPEN_FAILURES
     oldest_kept = patch({"generation": 8}, 7)
     assert apply(state, oldest_kept) is state
-    assert code(state, patch({"generation": 9, "remove": {}}, 8)) is ResultCode.CONFIG_STALE_MATCH
+    assert failure_code(state, patch({"generation": 9, "remove": {}}, 8)) is ResultCode.CONFIG_STALE_MATCH
 
 
 def names(state: ControlState, field: str) -> list[str]:
@@ -339,7 +339,7 @@
         "upsert": {"routes": [added, {**ROUTE, "timeout_ms": 1}], "services": [{"name": "extra"}]},
         "remove": {"routes": ["r-split", "r-absent"], "services": ["api"], "absent": ["x"]},
     }
-    state = taken(CONFIGURED, patch(change, 7))
+    state = apply_all(CONFIGURED, patch(change, 7))
     assert state.generation == 9
     assert names(state, "routes") == ["r-chat", "r-new"]
     assert names(state, "services") == ["llm", "extra"]
@@ -351,23 +351,23 @@
     assert "upsert" not in state.configuration
 
 
-def test_patch_leaves_the_former_state_as_it_was() -> None:
+def test_patch_does_not_modify_previous_state() -> None:
     before = encode_state(CONFIGURED)
-    taken(CONFIGURED, patch({"generation": 9, "upsert": {"routes": [{**ROUTE, "timeout_ms": 1}]}}, 7))
+    apply_all(CONFIGURED, patch({"generation": 9, "upsert": {"routes": [{**ROUTE, "timeout_ms": 1}]}}, 7))
     assert encode_state(CONFIGURED) == before
 
 
-def test_patch_takes_other_lists_of_named_items() -> None:
+def test_patch_applies_to_any_list_of_named_items() -> None:
     tenants = [{"name": "t1", "quota": 5}]
-    state = taken(CONFIGURED, patch({"generation": 9, "upsert": {"tenants": tenants}}, 7))
+    state = apply_all(CONFIGURED, patch({"generation": 9, "upsert": {"tenants": tenants}}, 7))
     assert names(state, "tenants") == ["t1"]
-    state = taken(state, patch({"generation": 10, "remove": {"tenants": ["t1"]}}, 9))
+    state = apply_all(state, patch({"generation": 10, "remove": {"tenants": ["t1"]}}, 9))
     assert names(state, "tenants") == []
 
 
-def test_route_moves_to_the_place_of_a_removed_one() -> None:
+def test_new_route_may_reuse_prefix_of_removed_route() -> None:
     change = {"generation": 9, "upsert": {"routes": [{**ROUTE, "name": "r-2"}]}, "remove": {"routes": ["r-chat"]}}
-    assert names(taken(CONFIGURED, patch(change, 7)), "routes") == ["r-split", "r-2"]
+    assert names(apply_all(CONFIGURED, patch(change, 7)), "routes") == ["r-split", "r-2"]
 
 
 INVALID_PATCHES: list[tuple[Mapping[str, Any], ResultCode]] = [
@@ -394,36 +394,36 @@
 
 @pytest.mark.parametrize(("document", "expected"), INVALID_PATCHES)
 def test_invalid_patch_is_refused(document: Mapping[str, Any], expected: ResultCode) -> None:
-    assert code(CONFIGURED, patch(document, 7)) is expected
+    assert failure_code(CONFIGURED, patch(document, 7)) is expected
 
 
-def test_patch_on_another_version_is_refused() -> None:
+def test_patch_on_stale_generation_is_refused() -> None:
     change = {"generation": 9, "remove": {"routes": ["r-split"]}}
-    assert code(CONFIGURED, patch(change, 5)) is ResultCode.CONFIG_STALE_MATCH
+    assert failure_code(CONFIGURED, patch(change, 5)) is ResultCode.CONFIG_STALE_MATCH
 
 
 def test_patch_before_the_first_configuration_is_refused() -> None:
     change = {"generation": 9, "upsert": {"services": [{"name": "llm"}]}}
-    assert code(ControlState(), patch(change, 0)) is ResultCode.CONFIG_SCHEMA
+    assert failure_code(ControlState(), patch(change, 0)) is ResultCode.CONFIG_SCHEMA
 
 
-def test_evacuations_start_and_end_once() -> None:
-    state = taken(CONFIGURED, evacuate("z2"), evacuate("z1"))
+def test_repeated_evacuation_changes_have_no_effect() -> None:
+    state = apply_all(CONFIGURED, evacuate("z2"), evacuate("z1"))
     assert state.evacuated_zones == ("z1", "z2")
     assert state.evacuation_index == state.index == 3
     assert state.configuration_index == 1
     assert apply(state, evacuate("z1")) is state
-    ended = taken(state, end_evacuation("z2"))
+    ended = apply_all(state, end_evacuation("z2"))
     assert ended.evacuated_zones == ("z1",)
     assert apply(ended, end_evacuation("z2")) is ended
 
 
-def test_state_survives_its_encoding() -> None:
-    for state in (ControlState(), CONFIGURED, taken(CONFIGURED, evacuate("z2"), evacuate("z1"))):
+def test_encoded_state_decodes_unchanged() -> None:
+    for state in (ControlState(), CONFIGURED, apply_all(CONFIGURED, evacuate("z2"), evacuate("z1"))):
         assert decode_state(encode_state(state)) == state
 
 
-def test_keys_of_an_earlier_release_are_dropped() -> None:
+def test_change_keys_of_earlier_release_are_dropped() -> None:
     """Guards against decoding the 12-byte digests of an earlier release as change keys.
 
     The first 8 bytes of such a digest would be read as an arbitrary generation. If that generation is high, every new
@@ -432,10 +432,10 @@
     digests = tuple(bytes([255]) * 8 + number.to_bytes(4) for number in range(MAX_APPLIED_CHANGE_KEYS))
     state = decode_state(encode_state(replace(CONFIGURED, applied_change_keys=digests)))
     assert isinstance(state, ControlState)
-    assert taken(state, put(edited(unchanged), 7)).generation == 9
+    assert apply_all(state, put(edited(unchanged), 7)).generation == 9
 
 
-def test_encoding_that_is_damaged_is_a_failure() -> None:
+def test_damaged_encoding_decodes_to_failure() -> None:
     data = encode_state(CONFIGURED)
     assert isinstance(decode_state(data[: len(data) // 2]), Failure)
     assert isinstance(decode_state(b"\xff" * 10), Failure)
--- a/tests/control_plane/test_control_program.py
+++ b/tests/control_plane/test_control_program.py
@@ -42,8 +42,8 @@
 
 
 @asynccontextmanager
-async def running(own: ProcessSettings) -> AsyncIterator[ControlPlane]:
-    control_plane = ControlPlane(own)
+async def running(node_settings: ProcessSettings) -> AsyncIterator[ControlPlane]:
+    control_plane = ControlPlane(node_settings)
     assert await control_plane.start() is None
     try:
         yield control_plane
@@ -51,11 +51,11 @@
         await control_plane.stop()
 
 
-def test_control_and_directory_are_served_until_the_end(tmp_path: Path) -> None:
+def test_control_and_directory_are_served_until_stop(tmp_path: Path) -> None:
     async def body() -> None:
-        own = settings(tmp_path)
-        control, directory = own.listen["control"], own.listen["directory"]
-        async with running(own):
+        node_settings = settings(tmp_path)
+        control, directory = node_settings.listen["control"], node_settings.listen["directory"]
+        async with running(node_settings):
             status, document = await get(control, "/v1/status")
             assert status == 200
             assert json.loads(document)["node"] == "c1"
@@ -68,26 +68,26 @@
     asyncio.run(body())
 
 
-def test_callers_are_handed_on_only_in_contact(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_control_node_is_reachable_only_with_majority(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def body() -> None:
         control_plane = ControlPlane(settings(tmp_path))
         member = Member("c2", "core", "core", "127.0.0.2", "z1", "r1", "", True, 1, True)
         monkeypatch.setattr(control_plane._node, "control_nodes", lambda: (member,))
         for has_majority in (False, True):
-            monkeypatch.setattr(control_plane._node, "has_majority", lambda answer=has_majority: answer)
+            monkeypatch.setattr(control_plane._node, "has_majority", lambda result=has_majority: result)
             assert control_plane._is_reachable("127.0.0.2") is has_majority
             assert not control_plane._is_reachable("127.0.0.3")
 
     asyncio.run(body())
 
 
-def test_address_that_is_taken_ends_the_start(tmp_path: Path) -> None:
+def test_start_fails_if_address_is_in_use(tmp_path: Path) -> None:
     async def body() -> None:
-        own = settings(tmp_path)
-        with socket.socket() as taken:
-            taken.bind(("127.0.0.1", own.listen["directory"].port))
-            taken.listen()
-            control_plane = ControlPlane(own)
+        node_settings = settings(tmp_path)
+        with socket.socket() as listener:
+            listener.bind(("127.0.0.1", node_settings.listen["directory"].port))
+            listener.listen()
+            control_plane = ControlPlane(node_settings)
             failure = await control_plane.start()
             assert isinstance(failure, Failure)
             assert failure.code is ResultCode.ADDRESS_IN_USE
@@ -96,7 +96,7 @@
     asyncio.run(body())
 
 
-def test_settings_that_cannot_be_read_end_the_program(
+def test_program_exits_if_settings_cannot_be_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setenv(SETTINGS_VARIABLE, str(tmp_path / "absent.toml"))
@@ -104,7 +104,7 @@
     assert "absent.toml" in capsys.readouterr().err
 
 
-class Publishing:
+class RecordingPublisher:
     """Fake `ItemPublisher` that merges published items into a table and records the items that the table accepted."""
 
     def __init__(self) -> None:
@@ -112,13 +112,13 @@
         self.published: list[Item] = []
 
     def publish(self, items: Iterable[Item]) -> list[Item]:
-        taken = self.table.merge(items)
-        self.published += taken
-        return taken
+        merged = self.table.merge(items)
+        self.published += merged
+        return merged
 
 
-def test_committed_state_is_published_by_parts_and_once() -> None:
-    node = Publishing()
+def test_each_changed_part_of_committed_state_is_published_once() -> None:
+    node = RecordingPublisher()
     publisher = StatePublisher(node)
     publisher.on_committed(ControlState())
     assert node.published == []
--- a/tests/control_plane/test_evacuation_fence.py
+++ b/tests/control_plane/test_evacuation_fence.py
@@ -18,24 +18,24 @@
 
 START = Change(ChangeKind.START_EVACUATION, zone="z1")
 END = Change(ChangeKind.END_EVACUATION, zone="z1")
-ELSEWHERE = Change(ChangeKind.END_EVACUATION, zone="z2")
+END_OTHER_ZONE = Change(ChangeKind.END_EVACUATION, zone="z2")
 
 
-def test_order_is_late_if_it_may_be_older_than_an_opposite_one() -> None:
+def test_request_possibly_older_than_opposite_request_is_stale() -> None:
     fence = EvacuationFence()
     fence.record(END, 10.0)
     assert fence.may_be_stale(START, 9.0)
     assert not fence.may_be_stale(START, 10.5)
 
 
-def test_equal_orders_and_those_of_other_zones_make_none_late() -> None:
+def test_requests_of_same_kind_or_other_zones_make_no_request_stale() -> None:
     fence = EvacuationFence()
     fence.record(START, 10.0)
-    fence.record(ELSEWHERE, 11.0)
+    fence.record(END_OTHER_ZONE, 11.0)
     assert not fence.may_be_stale(START, 9.0)
 
 
-def test_order_is_late_if_it_may_be_older_than_the_lead() -> None:
+def test_request_possibly_older_than_becoming_primary_is_stale() -> None:
     fence = EvacuationFence()
     assert not fence.may_be_stale(START, 0.0)
     fence.become_primary(5.0)
@@ -85,7 +85,7 @@
     asyncio.run(body())
 
 
-def test_orders_one_after_another_on_one_connection_are_taken() -> None:
+def test_consecutive_requests_on_one_connection_are_accepted() -> None:
     async def body(server: HttpServer, api: OperatorApi) -> None:
         client = await Client.connect(server)
         assert [await client.call(method) for method in ("POST", "DELETE", "POST", "DELETE")] == [200] * 4
@@ -94,7 +94,7 @@
     run(body)
 
 
-def test_copy_on_an_older_connection_is_sent_back_and_taken_on_a_new_one() -> None:
+def test_request_on_older_connection_gets_503_and_succeeds_on_new_connection() -> None:
     async def body(server: HttpServer, api: OperatorApi) -> None:
         older, other = await Client.connect(server), await Client.connect(server)
         assert [await other.call(method) for method in ("POST", "DELETE")] == [200, 200]
@@ -102,13 +102,13 @@
         assert await older.is_closed()
         newer = await Client.connect(server)
         assert await newer.call("POST") == 200
-        for each in (older, other, newer):
-            each.close()
+        for client in (older, other, newer):
+            client.close()
 
     run(body)
 
 
-def test_connection_from_before_the_lead_is_not_trusted() -> None:
+def test_request_on_connection_older_than_becoming_primary_gets_503() -> None:
     async def body(server: HttpServer, api: OperatorApi) -> None:
         older = await Client.connect(server)
         assert await older.call("POST") == 200
@@ -118,7 +118,7 @@
         assert await older.call("DELETE") == 503
         newer = await Client.connect(server)
         assert await newer.call("DELETE") == 200
-        for each in (older, newer):
-            each.close()
+        for client in (older, newer):
+            client.close()
 
     run(body)
--- a/tests/control_plane/test_heartbeats.py
+++ b/tests/control_plane/test_heartbeats.py
@@ -21,14 +21,14 @@
     return parse_heartbeat(json.dumps(BODY | changes).encode())
 
 
-def test_heartbeat_is_read_whole() -> None:
+def test_all_fields_are_parsed() -> None:
     worker = Worker(
         "llm", "10.128.0.9:8080", "z1", "v1", 64, WorkerState.READY, stage="hybrid", models=(Model("m", 1, ("a",)),)
     )
     assert parse() == Heartbeat(4, worker)
 
 
-def test_notice_cold_time_and_unknown_fields() -> None:
+def test_times_are_rounded_up_and_unknown_fields_are_ignored() -> None:
     heartbeat = parse(state="draining", remaining_ms=1999.5, cold_left_ms=12.2, unknown={"x": 1})
     assert isinstance(heartbeat, Heartbeat)
     assert heartbeat.worker.state is WorkerState.DRAINING
@@ -36,9 +36,9 @@
     assert heartbeat.worker.warm_up_left_ms == 13
 
 
-def test_fields_that_only_some_workers_send_may_be_missing() -> None:
-    few = {name: BODY[name] for name in ("service", "address", "zone", "state", "seq")}
-    heartbeat = parse_heartbeat(json.dumps(few).encode())
+def test_optional_fields_may_be_missing() -> None:
+    required_fields = {name: BODY[name] for name in ("service", "address", "zone", "state", "seq")}
+    heartbeat = parse_heartbeat(json.dumps(required_fields).encode())
     assert isinstance(heartbeat, Heartbeat)
     assert heartbeat.worker.models == ()
 
@@ -52,12 +52,12 @@
         {"seq": 2**62}, {"models": {}}, {"models": ["m"]}, {"models": [{"name": "m", "generation": -1}]},
     ],
 )  # fmt: skip
-def test_field_that_breaks_a_rule_is_refused(changes: dict[str, Any]) -> None:
+def test_invalid_field_is_refused(changes: dict[str, Any]) -> None:
     heartbeat = parse(**changes)
     assert isinstance(heartbeat, Failure)
     assert heartbeat.code is ResultCode.REGISTRATION_INVALID
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b"1", b"\xff", b"[" * 100_000, b'{"cold_left_ms": NaN}'])
-def test_body_that_is_no_object_is_refused(body: bytes) -> None:
+def test_body_that_is_not_a_json_object_is_refused(body: bytes) -> None:
     assert isinstance(parse_heartbeat(body), Failure)
--- a/tests/control_plane/test_member_records.py
+++ b/tests/control_plane/test_member_records.py
@@ -25,54 +25,54 @@
 STATE = ControlState(index=3, generation=9, configuration={"generation": 9, "routes": ["r"] * MIN_COMPRESSED_BYTES})
 
 
-def states() -> ControlStateCodec:
+def state_codec() -> ControlStateCodec:
     return ControlStateCodec(encode_state, decode_state)
 
 
-def evacuated(count: int) -> list[SaveChange]:
+def evacuation_saves(count: int) -> list[SaveChange]:
     saves: list[SaveChange] = []
     state = ControlState()
     for number in range(count):
         change = Change(ChangeKind.START_EVACUATION, zone=f"z{number:03d}")
-        after = apply(state, change)
-        assert isinstance(after, ControlState)
-        state = after
+        new_state = apply(state, change)
+        assert isinstance(new_state, ControlState)
+        state = new_state
         saves.append(SaveChange(change, state))
     return saves
 
 
-def test_a_member_is_found_again_as_it_was_saved() -> None:
+def test_loaded_member_equals_saved_member() -> None:
     stored: dict[str, bytes] = {}
-    writer = RecordWriter(states(), stored)
-    keep(stored, writer.first(MemberId("10.0.0.2/x"), DurableState()))
-    saves = evacuated(3 * MAX_CHANGES + 5)
+    writer = RecordWriter(state_codec(), stored)
+    save_updates(stored, writer.first(MemberId("10.0.0.2/x"), DurableState()))
+    saves = evacuation_saves(3 * MAX_CHANGES + 5)
     for save in saves:
-        keep(stored, writer.updates([save]))
+        save_updates(stored, writer.updates([save]))
         assert len(stored) <= MAX_CHANGES + 6
-    keep(stored, writer.updates([SaveWitness(EPOCH, VIEW, True), SaveInstalled(EPOCH, None), SaveCommitted(4)]))
+    save_updates(stored, writer.updates([SaveWitness(EPOCH, VIEW, True), SaveInstalled(EPOCH, None), SaveCommitted(4)]))
     expected = DurableState(EPOCH, VIEW, True, EPOCH, saves[-1].state, 4)
-    assert load_member(stored, states(), apply) == LoadedMember(MemberId("10.0.0.2/x"), expected)
+    assert load_member(stored, state_codec(), apply) == LoadedMember(MemberId("10.0.0.2/x"), expected)
 
 
-def test_an_installed_state_replaces_the_changes() -> None:
+def test_installed_state_replaces_stored_changes() -> None:
     stored: dict[str, bytes] = {}
-    writer = RecordWriter(states(), stored)
-    keep(stored, writer.first(MemberId("10.0.0.2/x"), DurableState()))
-    keep(stored, writer.updates(evacuated(3)))
-    keep(stored, writer.updates([SaveInstalled(EPOCH, STATE)]))
-    loaded = load_member(stored, states(), apply)
+    writer = RecordWriter(state_codec(), stored)
+    save_updates(stored, writer.first(MemberId("10.0.0.2/x"), DurableState()))
+    save_updates(stored, writer.updates(evacuation_saves(3)))
+    save_updates(stored, writer.updates([SaveInstalled(EPOCH, STATE)]))
+    loaded = load_member(stored, state_codec(), apply)
     assert isinstance(loaded, LoadedMember)
     assert loaded.durable.state == STATE
 
 
-def test_an_empty_store_is_no_member_and_a_partial_one_a_failure() -> None:
-    assert load_member({}, states(), apply) is None
-    found = load_member({"member": b"10.0.0.2/x"}, states(), apply)
-    assert isinstance(found, Failure)
-    assert found.code is ResultCode.DISK_CORRUPT
+def test_empty_store_loads_none_and_partial_store_fails() -> None:
+    assert load_member({}, state_codec(), apply) is None
+    loaded = load_member({"member": b"10.0.0.2/x"}, state_codec(), apply)
+    assert isinstance(loaded, Failure)
+    assert loaded.code is ResultCode.DISK_CORRUPT
 
 
-def keep(stored: dict[str, bytes], updates: Updates) -> None:
+def save_updates(stored: dict[str, bytes], updates: Updates) -> None:
     for name, value in updates.items():
         if value is None:
             stored.pop(name, None)
--- a/tests/control_plane/test_operator_api.py
+++ b/tests/control_plane/test_operator_api.py
@@ -79,7 +79,7 @@
         return self.failure or self.state
 
 
-class Answered:
+class Response:
     """The HTTP response that the ASGI app sent."""
 
     def __init__(self, messages: list[Message]) -> None:
@@ -112,7 +112,7 @@
 
     async def call(
         self, method: str, path: str, body: bytes = b"", headers: Mapping[str, str] | None = None
-    ) -> Answered:
+    ) -> Response:
         messages: list[Message] = []
         chunks = [body[start : start + 65536] for start in range(0, len(body), 65536)] or [b""]
         events: list[Message] = [{"type": "http.request", "body": chunk, "more_body": True} for chunk in chunks]
@@ -129,9 +129,9 @@
             "headers": [(name.encode(), value.encode()) for name, value in (headers or {}).items()],
         }  # fmt: skip
         await self.app(scope, receive, send)
-        return Answered(messages)
+        return Response(messages)
 
-    async def put(self, document: Any, if_match: int = 0) -> Answered:
+    async def put(self, document: Any, if_match: int = 0) -> Response:
         body = document if isinstance(document, bytes) else json.dumps(document).encode()
         return await self.call("PUT", CONFIGURATION_PATH, body, {"if-match": str(if_match)})
 
@@ -143,7 +143,7 @@
     asyncio.run(body())
 
 
-def test_configuration_is_put_and_read_back_whole() -> None:
+def test_configuration_is_read_back_as_put() -> None:
     async def body(caller: Caller) -> None:
         assert (await caller.put(CONFIGURATION)).status == 200
         answer = await caller.call("GET", CONFIGURATION_PATH)
@@ -155,7 +155,7 @@
     run(body)
 
 
-def test_same_change_is_acknowledged_again() -> None:
+def test_repeated_change_is_acknowledged_again() -> None:
     async def body(caller: Caller) -> None:
         for _ in range(2):
             assert (await caller.put(CONFIGURATION)).status == 200
@@ -164,7 +164,7 @@
     run(body)
 
 
-def test_rejections_carry_their_code() -> None:
+def test_rejection_contains_result_code() -> None:
     async def body(caller: Caller) -> None:
         await caller.put(CONFIGURATION)
         stale = await caller.put(CONFIGURATION | {"generation": 9}, if_match=5)
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize("if_match", [None, "", "x", "-1", "1.5", "9" * 30, "²"])
-def test_change_without_a_version_is_rejected(if_match: str | None) -> None:
+def test_change_without_valid_if_match_is_rejected(if_match: str | None) -> None:
     async def body(caller: Caller) -> None:
         headers = {} if if_match is None else {"if-match": if_match.encode().decode("latin-1")}
         answer = await caller.call("PUT", CONFIGURATION_PATH, json.dumps(CONFIGURATION).encode(), headers)
@@ -201,7 +201,7 @@
     run(body)
 
 
-def test_change_builds_on_the_largest_generation() -> None:
+def test_change_on_largest_generation_is_accepted() -> None:
     async def body(caller: Caller) -> None:
         largest = 2**63 - 2
         assert (await caller.put(CONFIGURATION | {"generation": largest})).status == 200
@@ -218,7 +218,7 @@
     run(body)
 
 
-def test_bodies_in_memory_at_once_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_total_size_of_bodies_in_memory_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(web, "MAX_BODIES_BYTES", 1000)
 
     async def body(caller: Caller) -> None:
@@ -237,7 +237,7 @@
     run(body)
 
 
-def test_changes_larger_than_a_request_of_a_client_are_taken() -> None:
+def test_change_larger_than_client_body_limit_is_accepted() -> None:
     async def body(caller: Caller) -> None:
         await caller.put(CONFIGURATION | {"limits": {"max_body_bytes": 8 << 20}})
         assert caller.api.max_body_bytes() > 8 << 20
@@ -246,7 +246,7 @@
     run(body)
 
 
-def test_taken_change_is_not_too_large_once_the_limits_are_lowered() -> None:
+def test_accepted_change_is_acknowledged_again_after_limits_are_lowered() -> None:
     async def body(caller: Caller) -> None:
         await caller.put(CONFIGURATION | {"limits": {"max_body_bytes": 8 << 20}})
         large = CONFIGURATION | {"generation": 8, "x": "y" * (5 << 20), "limits": {"max_body_bytes": 8 << 20}}
@@ -266,7 +266,7 @@
 
 
 @pytest.mark.parametrize("code", OPEN_OUTCOMES)
-def test_open_outcome_is_answered_503(code: ResultCode) -> None:
+def test_open_outcome_is_answered_with_503(code: ResultCode) -> None:
     async def body(caller: Caller) -> None:
         caller.service.failure = Failure(code, "open")
         for answer in (
@@ -308,7 +308,7 @@
 
 
 @pytest.mark.parametrize("primary_ip", [None, SETTINGS.ip, "10.3.0.24"])
-def test_caller_is_not_redirected_to_a_primary_that_is_unknown_or_believed_dead(primary_ip: str | None) -> None:
+def test_caller_is_not_redirected_to_unknown_or_unreachable_primary(primary_ip: str | None) -> None:
     async def body(caller: Caller) -> None:
         caller.service.is_primary = False
         caller.service.primary_ip = primary_ip
@@ -317,7 +317,7 @@
     run(body)
 
 
-def test_slow_change_is_left_open_and_its_retry_joins_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_slow_change_gets_503_and_its_retry_joins_the_pending_change(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operator_api, "ANSWER_WITHIN_S", 0.0)
 
     async def body(caller: Caller) -> None:
@@ -336,7 +336,7 @@
     run(body)
 
 
-def test_evacuation_joins_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_evacuation_does_not_join_pending_evacuation(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against answering an evacuation request with the outcome of an earlier, still pending request.
 
     Another primary may have reverted the earlier evacuation after its replication, so each evacuation request needs a
@@ -354,7 +354,7 @@
     run(body)
 
 
-def test_evacuations_at_once_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pending_evacuations_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operator_api, "ANSWER_WITHIN_S", 0.0)
     monkeypatch.setattr(operator_api, "MAX_CHANGES_IN_PROGRESS", 8)
 
@@ -368,7 +368,7 @@
     run(body)
 
 
-def test_slow_read_is_left_open(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_slow_read_is_answered_with_503(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operator_api, "ANSWER_WITHIN_S", 0.0)
 
     async def body(caller: Caller) -> None:
@@ -378,7 +378,7 @@
     run(body)
 
 
-def test_changes_at_once_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pending_changes_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operator_api, "ANSWER_WITHIN_S", 0.0)
     monkeypatch.setattr(operator_api, "MAX_CHANGES_IN_PROGRESS", 8)
 
@@ -392,7 +392,7 @@
     run(body)
 
 
-def test_first_of_two_racing_changes_wins() -> None:
+def test_only_one_of_concurrent_changes_on_one_generation_wins() -> None:
     async def body(caller: Caller) -> None:
         await caller.put(CONFIGURATION)
         answers = await asyncio.gather(
@@ -423,7 +423,7 @@
     run(body)
 
 
-def test_before_the_first_configuration_there_is_nothing_to_read() -> None:
+def test_read_before_first_configuration_is_answered_with_404() -> None:
     async def body(caller: Caller) -> None:
         assert (await caller.call("GET", CONFIGURATION_PATH)).status == 404
 
@@ -442,7 +442,7 @@
     run(body)
 
 
-def test_call_that_is_cut_short_is_not_answered() -> None:
+def test_request_cut_off_by_disconnect_is_not_answered() -> None:
     async def body(caller: Caller) -> None:
         sent: list[Message] = []
         events: list[Message] = [
@@ -474,19 +474,19 @@
         (Failure(ResultCode.NO_PRIMARY, "none"), 503),
     ],
 )
-def test_a_removal_reports_how_far_it_is(outcome: Removal | Failure, status: int) -> None:
+def test_removal_outcome_determines_http_status(outcome: Removal | Failure, status: int) -> None:
     caller = Caller()
     caller.service.removal = outcome
-    answered = asyncio.run(caller.call("POST", REMOVAL_PREFIX + "10.2.0.30"))
-    assert answered.status == status
+    response = asyncio.run(caller.call("POST", REMOVAL_PREFIX + "10.2.0.30"))
+    assert response.status == status
     assert caller.service.removed == ["10.2.0.30"]
 
 
-def test_a_removal_is_for_the_primary() -> None:
+def test_removal_at_non_primary_is_redirected_to_primary() -> None:
     caller = Caller()
     caller.service.primary_ip = "10.2.0.30"
     caller.service.removal = Failure(ResultCode.NOT_PRIMARY, "the primary is 10.2.0.30")
-    answered = asyncio.run(caller.call("POST", REMOVAL_PREFIX + "10.1.0.38"))
-    assert answered.status == 307
-    assert answered.headers["location"] == "http://10.2.0.30:8146/v1/control/remove/10.1.0.38"
+    response = asyncio.run(caller.call("POST", REMOVAL_PREFIX + "10.1.0.38"))
+    assert response.status == 307
+    assert response.headers["location"] == "http://10.2.0.30:8146/v1/control/remove/10.1.0.38"
     assert asyncio.run(caller.call("GET", REMOVAL_PREFIX + "10.1.0.38")).status == 405
--- a/tests/control_plane/test_registry.py
+++ b/tests/control_plane/test_registry.py
@@ -32,8 +32,8 @@
     nodes: list[FakeNode] = field(default_factory=list)
     cut_off: set[str] = field(default_factory=set)
 
-    def reach_each_other(self, one: str, other: str) -> bool:
-        return one == other or not {one, other} & self.cut_off
+    def can_communicate(self, first_ip: str, second_ip: str) -> bool:
+        return first_ip == second_ip or not {first_ip, second_ip} & self.cut_off
 
     def advance(self, milliseconds: int) -> None:
         """Advance the clock in steps of the registry's tick (500 ms), and run a tick of every node at each step."""
@@ -73,15 +73,15 @@
         sender = PeerInfo(self.member.name, self.peer_address(self.member))
         for address in addresses:
             for node in self.network.nodes:
-                if node.member.ip == address.host and self.network.reach_each_other(self.member.ip, address.host):
+                if node.member.ip == address.host and self.network.can_communicate(self.member.ip, address.host):
                     node.callbacks[channel](sender, payload)
 
     def publish(self, items: Iterable[Item]) -> list[Item]:
-        taken = self.table.merge(items)
+        merged = self.table.merge(items)
         for node in self.network.nodes:
-            if node is not self and self.network.reach_each_other(self.member.ip, node.member.ip):
-                node.table.merge(taken)
-        return taken
+            if node is not self and self.network.can_communicate(self.member.ip, node.member.ip):
+                node.table.merge(merged)
+        return merged
 
     def control_nodes(self) -> Sequence[Member]:
         return self.live
@@ -96,7 +96,7 @@
         if not self.may_write:
             return False
         written = tuple(items)
-        reached = [node for node in self.network.nodes if self.network.reach_each_other(self.member.ip, node.member.ip)]
+        reached = [node for node in self.network.nodes if self.network.can_communicate(self.member.ip, node.member.ip)]
         for node in reached:
             node.table.merge(written)
         return 2 * len(reached) > len(self.network.nodes)
@@ -151,18 +151,18 @@
         assert len(answer.body) < 4096
 
 
-def test_answer_names_a_node_of_the_region_where_the_zone_has_none() -> None:
+def test_answer_names_a_node_of_the_region_if_the_zone_has_none() -> None:
     network = make_network("z2", "z3")
     assert "10.1.0.1" in json.loads(network.nodes[1].heartbeat("i-1", 1, zone="z1").body)["beat_url"]
 
 
-def test_answer_names_no_node_where_none_is_local() -> None:
+def test_answer_names_no_node_if_none_is_local() -> None:
     network = make_network("z1", "z2")
     assert json.loads(network.nodes[0].heartbeat("i-1", 1, zone="z3").body) == {}
     assert json.loads(network.nodes[0].heartbeat("i-2", 1, zone="z9").body) == {}
 
 
-def test_answer_names_no_node_that_stops_or_is_not_alive() -> None:
+def test_answer_names_no_stopping_or_dead_node() -> None:
     network = make_network("z1", "z2", "z3")
     first = network.nodes[0]
     first.service.stop()
@@ -171,7 +171,7 @@
     assert json.loads(first.heartbeat("i-1", 2).body) == {}
 
 
-def test_worker_whose_heartbeats_go_elsewhere_is_not_missing() -> None:
+def test_worker_with_heartbeats_to_another_node_is_not_missing() -> None:
     network = make_network("z1", "z2", "z3")
     for sequence in range(1, 20):
         network.nodes[2].heartbeat("i-1", sequence)
@@ -179,7 +179,7 @@
     assert network.nodes[0].state("i-1") is WorkerState.READY
 
 
-def test_worker_without_heartbeats_is_missing_everywhere_until_the_next_one() -> None:
+def test_worker_without_heartbeats_is_missing_on_all_nodes_until_next_heartbeat() -> None:
     network = make_network("z1", "z2", "z3")
     network.nodes[1].heartbeat("i-1", 1)
     network.advance(3000)
@@ -203,7 +203,7 @@
     assert network.nodes[1].state("i-1") is WorkerState.READY
 
 
-def test_next_registrar_declares_nobody_missing_who_sends_heartbeats() -> None:
+def test_new_registrar_declares_only_worker_without_heartbeats_missing() -> None:
     network = make_network("z1", "z2", "z3")
     for sequence in range(1, 30):
         if sequence == 10:
@@ -233,7 +233,7 @@
     return missing
 
 
-def heartbeats_before_the_registrar_ends(network: Network, receiver: FakeNode) -> None:
+def send_heartbeats_past_timeout(network: Network, receiver: FakeNode) -> None:
     """Send heartbeats for 10 s, so that a worker's first publication alone cannot keep the worker `READY`."""
     for sequence in range(1, 11):
         receiver.heartbeat("i-1", sequence)
@@ -241,12 +241,16 @@
 
 
 @pytest.mark.parametrize("receiver", [0, 1, 2])
-@pytest.mark.parametrize("successor_learns", [0, 1, 2])
-@pytest.mark.parametrize("other_learns", [0, 1, 2])
-@pytest.mark.parametrize("worker_turns_to", [1, 2])
-@pytest.mark.parametrize("ticks_in_order", [True, False])
-def test_planned_end_of_the_registrar_makes_no_live_worker_missing(
-    receiver: int, successor_learns: int, other_learns: int, worker_turns_to: int, ticks_in_order: bool
+@pytest.mark.parametrize("successor_delay_ticks", [0, 1, 2])
+@pytest.mark.parametrize("other_delay_ticks", [0, 1, 2])
+@pytest.mark.parametrize("next_receiver", [1, 2])
+@pytest.mark.parametrize("ticks_in_node_order", [True, False])
+def test_planned_stop_of_registrar_makes_no_live_worker_missing(
+    receiver: int,
+    successor_delay_ticks: int,
+    other_delay_ticks: int,
+    next_receiver: int,
+    ticks_in_node_order: bool,
 ) -> None:
     """Regression: a new registrar applied the time-out to workers whose heartbeats only the old registrar knew.
 
@@ -254,27 +258,27 @@
     worker sends its next heartbeat to one of the two nodes.
     """
     network = make_network("z1", "z2", "z3")
-    heartbeats_before_the_registrar_ends(network, network.nodes[receiver])
+    send_heartbeats_past_timeout(network, network.nodes[receiver])
     missing = record_missing(network)
     nodes = list(network.nodes)
-    network.nodes = nodes[1:] if ticks_in_order else nodes[:0:-1]
+    network.nodes = nodes[1:] if ticks_in_node_order else nodes[:0:-1]
     for step in range(40):
-        if step == successor_learns:
+        if step == successor_delay_ticks:
             nodes[1].live = [nodes[1].member, nodes[2].member]
-        if step == other_learns:
+        if step == other_delay_ticks:
             nodes[2].live = [nodes[1].member, nodes[2].member]
         if step % 2:
-            nodes[worker_turns_to].heartbeat("i-1", 11 + step)
+            nodes[next_receiver].heartbeat("i-1", 11 + step)
         network.advance(500)
     assert missing == []
 
 
 @pytest.mark.parametrize("is_planned", [True, False])
-def test_worker_that_ends_with_the_registrar_is_missing_after_one_time_out_from_the_loss_of_contact(
+def test_worker_lost_with_registrar_is_missing_one_timeout_after_loss_of_contact(
     is_planned: bool,
 ) -> None:
     network = make_network("z1", "z2", "z3")
-    heartbeats_before_the_registrar_ends(network, network.nodes[0])
+    send_heartbeats_past_timeout(network, network.nodes[0])
     missing = record_missing(network)
     network.nodes.pop(0)
     if is_planned:  # the other nodes learn of a planned stop at once, and of a crash only by missing announcements
@@ -286,7 +290,7 @@
     assert set(missing) == {"i-1"}
 
 
-def test_partitioned_node_sends_workers_on_and_declares_nobody_missing() -> None:
+def test_partitioned_node_answers_503_and_declares_no_worker_missing() -> None:
     network = make_network("z1", "z2", "z3")
     network.nodes[1].heartbeat("i-1", 1)
     network.cut_off.add("10.1.0.1")
@@ -305,25 +309,25 @@
     network = make_network("z1", "z2", "z3")
     first, second, third = network.nodes
 
-    def say(node: FakeNode, sequence: int) -> int:
+    def end_worker(node: FakeNode, sequence: int) -> int:
         if end == "DELETE":
             return node.call("DELETE", "i-1").status
         return node.heartbeat("i-1", sequence, state="draining").status
 
     assert first.heartbeat("i-1", 1).status == 200
     first.may_write = False
-    assert say(first, 2) == 503
+    assert end_worker(first, 2) == 503
     assert first.heartbeat("i-2", 1).status == 200
-    assert say(first, 3) == 503  # nothing new to publish, but no majority has confirmed the first publication
+    assert end_worker(first, 3) == 503  # nothing new to publish, but no majority has confirmed the first publication
     first.may_write = True
     for node in (second, third):
         node.table.forget(ItemKind.WORKER, "i-1")
-    assert say(first, 4) == 200
-    wanted = None if end == "DELETE" else WorkerState.DRAINING
-    assert [node.state("i-1") for node in network.nodes] == [wanted] * 3
+    assert end_worker(first, 4) == 200
+    expected = None if end == "DELETE" else WorkerState.DRAINING
+    assert [node.state("i-1") for node in network.nodes] == [expected] * 3
 
 
-def test_workers_of_a_partitioned_node_have_time_to_reach_another() -> None:
+def test_workers_of_partitioned_node_have_one_timeout_to_reach_another_node() -> None:
     network = make_network("z1", "z2", "z3")
     for sequence in range(1, 4):
         network.nodes[2].heartbeat("i-1", sequence)
@@ -338,7 +342,7 @@
     assert network.nodes[0].state("i-1") is WorkerState.MISSING
 
 
-def test_stalled_node_declares_nobody_missing_for_a_while() -> None:
+def test_stalled_node_restarts_timeouts_of_workers() -> None:
     network = make_network("z1")
     network.nodes[0].heartbeat("i-1", 1)
     network.now_ns += 10_000 * MS
@@ -349,7 +353,7 @@
     assert network.nodes[0].state("i-1") is WorkerState.MISSING
 
 
-def test_node_that_has_just_started_declares_nobody_missing_for_a_while() -> None:
+def test_restarted_node_declares_no_worker_missing_within_one_timeout() -> None:
     network = make_network("z1", "z2")
     network.nodes[1].heartbeat("i-1", 1)
     network.nodes.remove(network.nodes[0])
@@ -362,7 +366,7 @@
     assert restarted.state("i-1") is WorkerState.READY
 
 
-def test_malformed_calls_change_nothing() -> None:
+def test_malformed_requests_change_nothing() -> None:
     network = make_network("z1")
     node = network.nodes[0]
     assert node.call("PUT", "i-1", b"{").status == 400
--- a/tests/control_plane/test_replicated_snapshots.py
+++ b/tests/control_plane/test_replicated_snapshots.py
@@ -13,20 +13,20 @@
 from canvasbeam.replication.messages import Chunk
 from canvasbeam.replication.snapshots import CHUNK_BYTES
 from canvasbeam.runtime.settings import Address
-from tests.control_plane.test_replicated_state import IPS, Node, System, run, stop_all, three
+from tests.control_plane.test_replicated_state import IPS, Node, System, run, start_three_nodes, stop_all
 from tests.support.model_disk import ModelDisk
 
 SERVICES = 4000
 
 
-def large_order() -> Change:
-    chance = random.Random(1)
-    services = [{"name": chance.randbytes(20).hex()} for _ in range(SERVICES)]
+def large_change() -> Change:
+    generator = random.Random(1)
+    services = [{"name": generator.randbytes(20).hex()} for _ in range(SERVICES)]
     body = json.dumps({"generation": 1, "routes": [], "services": services}).encode()
     return Change(ChangeKind.PUT_CONFIGURATION, body, 0)
 
 
-async def acknowledged(system: System, change: Change) -> ControlState:
+async def submit_until_committed(system: System, change: Change) -> ControlState:
     while True:
         node = await system.primary()
         result = await node.service.submit(change)
@@ -35,42 +35,42 @@
         await system.until(lambda: True)
 
 
-def count_pieces(node: Node) -> list[int]:
+def record_chunk_sizes(node: Node) -> list[int]:
     """Return a list of the sizes, in bytes, of the chunks that the node sends; the list grows with each chunk."""
     sizes: list[int] = []
     codec = ReplicationCodec(ControlStateCodec(encode_state, decode_state))
     send = node.transport.send
 
-    def counted(address: Address, channel: Channel, payload: bytes) -> None:
+    def recording_send(address: Address, channel: Channel, payload: bytes) -> None:
         received = codec.decode(payload)
         assert isinstance(received, ReceivedMessage)
         if isinstance(received.message, Chunk):
             sizes.append(len(received.message.data))
         send(address, channel, payload)
 
-    node.transport.send = counted  # type: ignore[method-assign]
+    node.transport.send = recording_send  # type: ignore[method-assign]
     return sizes
 
 
-def test_a_wiped_machine_gets_a_large_state_in_pieces_and_knows_the_orders_that_were_taken() -> None:
+def test_wiped_node_receives_large_state_in_chunks_and_recognizes_repeated_change() -> None:
     async def work() -> None:
-        system = await three()
-        order = large_order()
-        state = await acknowledged(system, order)
+        system = await start_three_nodes()
+        change = large_change()
+        state = await submit_until_committed(system, change)
         primary = await system.primary()
         wiped, other = (ip for ip in IPS if ip != primary.settings.ip)
         await system.stop(wiped)
-        sent = count_pieces(primary)
+        chunk_sizes = record_chunk_sizes(primary)
         node = await system.start(wiped, ModelDisk(), bootstrap=False)
         await system.until(lambda: node.service.state == state)
-        assert len(sent) > 2
-        assert max(sent) <= CHUNK_BYTES
+        assert len(chunk_sizes) > 2
+        assert max(chunk_sizes) <= CHUNK_BYTES
         number = 0
         while node.service.status.member not in primary.service.status.replicas:
             number += 1
             state = await system.evacuate(f"zone-{number}")
         await system.stop(primary.settings.ip)
-        assert await acknowledged(system, order) == state
+        assert await submit_until_committed(system, change) == state
         assert {other, wiped} == set(system.nodes)
         await stop_all(system)
 
--- a/tests/control_plane/test_replicated_state.py
+++ b/tests/control_plane/test_replicated_state.py
@@ -26,8 +26,8 @@
 from tests.support.model_disk import ModelDisk
 
 IPS = ("127.0.5.1", "127.0.5.2", "127.0.5.3")
-LIMIT_SECONDS = 20
-QUICK = ReplicationTiming(
+TEST_TIMEOUT_SECONDS = 20
+FAST_TIMING = ReplicationTiming(
     heartbeat_interval_ns=20 * MILLISECOND,
     unresponsive_after_ns=150 * MILLISECOND,
     election_timeout_ns=200 * MILLISECOND,
@@ -57,7 +57,7 @@
         self.disk = disk
         self.transport = Transport(self.settings.node, Address(ip, port))
         self.service = ReplicatedControlState(
-            self.settings, self.transport, apply, encode_state, decode_state, disk=disk, timing=QUICK
+            self.settings, self.transport, apply, encode_state, decode_state, disk=disk, timing=FAST_TIMING
         )
 
     async def start(self, on_event: Callable[[], None]) -> None:
@@ -97,10 +97,10 @@
             self._event.clear()
 
     async def primary(self, other_than: str = "") -> Node:
-        await self.until(lambda: any(self._leads(ip, other_than) for ip in self.nodes))
-        return next(node for ip, node in self.nodes.items() if self._leads(ip, other_than))
+        await self.until(lambda: any(self._is_primary(ip, other_than) for ip in self.nodes))
+        return next(node for ip, node in self.nodes.items() if self._is_primary(ip, other_than))
 
-    def _leads(self, ip: str, other_than: str) -> bool:
+    def _is_primary(self, ip: str, other_than: str) -> bool:
         return ip != other_than and self.nodes[ip].service.is_primary
 
     async def evacuate(self, zone: str) -> ControlState:
@@ -114,14 +114,14 @@
 
 
 def run(work: Callable[[], Awaitable[None]]) -> None:
-    async def limited() -> None:
-        async with asyncio.timeout(LIMIT_SECONDS):
+    async def with_timeout() -> None:
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             await work()
 
-    asyncio.run(limited())
+    asyncio.run(with_timeout())
 
 
-async def three() -> System:
+async def start_three_nodes() -> System:
     system = System()
     for ip in IPS:
         await system.start(ip)
@@ -133,20 +133,20 @@
         await system.stop(ip)
 
 
-def test_a_change_is_on_every_machine_and_only_the_primary_answers() -> None:
+def test_change_reaches_every_node_and_only_primary_answers_reads() -> None:
     async def work() -> None:
-        system = await three()
+        system = await start_three_nodes()
         state = await system.evacuate("north")
         assert state.evacuated_zones == ("north",)
         await system.until(lambda: all(node.service.state == state for node in system.nodes.values()))
         primary = await system.primary()
         for node in system.nodes.values():
-            found = await node.service.read()
+            result = await node.service.read()
             if node is primary:
-                assert found == state
+                assert result == state
             else:
-                assert isinstance(found, Failure)
-                assert found.code is ResultCode.NOT_PRIMARY
+                assert isinstance(result, Failure)
+                assert result.code is ResultCode.NOT_PRIMARY
                 assert node.service.primary_ip == primary.settings.ip
         assert len(primary.service.status.replicas) == len(IPS)
         await stop_all(system)
@@ -154,33 +154,33 @@
     run(work)
 
 
-def test_listeners_are_notified_of_those_whose_grants_count_for_contact() -> None:
+def test_electorate_listeners_receive_ip_addresses_of_witnesses() -> None:
     async def work() -> None:
         system = System()
-        told: dict[str, list[list[set[str]]]] = {ip: [] for ip in IPS}
+        notified: dict[str, list[list[set[str]]]] = {ip: [] for ip in IPS}
 
-        def listener(heard: list[list[set[str]]]) -> Callable[[Sequence[Sequence[str]]], None]:
-            def note(electorates: Sequence[Sequence[str]]) -> None:
-                heard.append([set(electorate) for electorate in electorates])
+        def listener(received: list[list[set[str]]]) -> Callable[[Sequence[Sequence[str]]], None]:
+            def record(electorates: Sequence[Sequence[str]]) -> None:
+                received.append([set(electorate) for electorate in electorates])
                 system.wake()
 
-            return note
+            return record
 
         for ip in IPS:
             node = system.nodes[ip] = Node(ip, system.port, ModelDisk(), bootstrap=True)
-            node.service.add_electorate_listener(listener(told[ip]))
+            node.service.add_electorate_listener(listener(notified[ip]))
             await node.start(system.wake)
         await system.evacuate("north")
-        await system.until(lambda: all(told[ip] and told[ip][-1] == [set(IPS)] for ip in IPS))
-        assert all(electorate == set(IPS) for ip in IPS for electorates in told[ip] for electorate in electorates)
+        await system.until(lambda: all(notified[ip] and notified[ip][-1] == [set(IPS)] for ip in IPS))
+        assert all(electorate == set(IPS) for ip in IPS for electorates in notified[ip] for electorate in electorates)
         await stop_all(system)
 
     run(work)
 
 
-def test_another_leads_after_the_primary_resigns() -> None:
+def test_another_node_becomes_primary_after_primary_stops() -> None:
     async def work() -> None:
-        system = await three()
+        system = await start_three_nodes()
         await system.evacuate("north")
         first = await system.primary()
         await system.stop(first.settings.ip)
@@ -191,9 +191,9 @@
     run(work)
 
 
-def test_all_come_back_from_their_disks(tmp_path: Path) -> None:
+def test_all_nodes_restart_from_their_disks(tmp_path: Path) -> None:
     async def work() -> None:
-        system = await three()
+        system = await start_three_nodes()
         await system.evacuate("north")
         disks = {ip: node.disk for ip, node in system.nodes.items()}
         await stop_all(system)
@@ -206,9 +206,9 @@
     run(work)
 
 
-def test_a_wiped_machine_joins_as_a_new_member() -> None:
+def test_wiped_node_joins_as_new_member() -> None:
     async def work() -> None:
-        system = await three()
+        system = await start_three_nodes()
         await system.evacuate("north")
         wiped = IPS[2]
         before = system.nodes[wiped].service.status.member
@@ -222,17 +222,17 @@
     run(work)
 
 
-def test_a_primary_whose_disk_is_full_hands_over(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_primary_with_full_disk_hands_over(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(disk_worker, "RETRY_SECONDS", 0.01)
 
     async def work() -> None:
-        system = await three()
+        system = await start_three_nodes()
         await system.evacuate("north")
         full = await system.primary()
         assert isinstance(full.disk, ModelDisk)
         full.disk.is_full = True
-        order = Change(ChangeKind.START_EVACUATION, zone="south")
-        assert isinstance(await full.service.submit(order), Failure)
+        change = Change(ChangeKind.START_EVACUATION, zone="south")
+        assert isinstance(await full.service.submit(change), Failure)
         await system.primary(other_than=full.settings.ip)
         state = await system.evacuate("south")
         assert "south" in state.evacuated_zones
@@ -245,9 +245,9 @@
     run(work)
 
 
-def test_a_damaged_disk_takes_no_part() -> None:
+def test_node_with_damaged_disk_refuses_changes() -> None:
     async def work() -> None:
-        system = await three()
+        system = await start_three_nodes()
         await system.evacuate("north")
         damaged = IPS[1]
         disk = system.nodes[damaged].disk
@@ -265,61 +265,61 @@
     run(work)
 
 
-def test_garbage_from_a_peer_is_dropped() -> None:
+def test_invalid_messages_from_peer_are_dropped() -> None:
     async def work() -> None:
-        system = await three()
+        system = await start_three_nodes()
         await system.evacuate("north")
-        stranger = Transport("stranger", Address("127.0.5.9", system.port))
-        await stranger.start()
+        unknown_peer = Transport("stranger", Address("127.0.5.9", system.port))
+        await unknown_peer.start()
         for payload in (b"", b"\xff" * 40, b"\x0a\x0a127.0.5.1/0\x12\x00"):
-            stranger.send(Address(IPS[0], system.port), Channel.REPLICATION, payload)
+            unknown_peer.send(Address(IPS[0], system.port), Channel.REPLICATION, payload)
         state = await system.evacuate("south")
         assert state.evacuated_zones == ("north", "south")
-        await stranger.stop()
+        await unknown_peer.stop()
         await stop_all(system)
 
     run(work)
 
 
 class StallingDisk(ModelDisk):
-    """Model disk whose syncs block until the test allows them, for at most `LIMIT_SECONDS`."""
+    """Model disk whose syncs block until the test allows them, for at most `TEST_TIMEOUT_SECONDS`."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.permission = threading.Event()
-        self.permission.set()
+        self.sync_allowed = threading.Event()
+        self.sync_allowed.set()
 
     def sync(self, name: str) -> None:
-        self.permission.wait(LIMIT_SECONDS)
+        self.sync_allowed.wait(TEST_TIMEOUT_SECONDS)
         super().sync(name)
 
 
-def test_a_stall_is_reported_while_it_lasts_and_the_loop_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_disk_stall_is_reported_and_does_not_block_event_loop(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(disk_worker, "SLOW_SECONDS", 0.0)
 
     async def work() -> None:
-        told: asyncio.Queue[Failure | None] = asyncio.Queue()
-        worker = DiskWorker(told.put_nowait)
+        notifications: asyncio.Queue[Failure | None] = asyncio.Queue()
+        worker = DiskWorker(notifications.put_nowait)
         disk = StallingDisk()
         store = await worker.run(lambda: open_store(disk))
         assert not isinstance(store, Failure)
-        disk.permission.clear()
+        disk.sync_allowed.clear()
         write = asyncio.create_task(worker.write(store, {"name": b"value"}))
-        trouble = await told.get()
-        assert trouble is not None
-        assert trouble.code is ResultCode.DISK_SLOW
+        failure = await notifications.get()
+        assert failure is not None
+        assert failure.code is ResultCode.DISK_SLOW
         assert not write.done()
-        disk.permission.set()
+        disk.sync_allowed.set()
         await write
-        assert await told.get() is None
+        assert await notifications.get() is None
         worker.close()
 
     run(work)
 
 
-def test_a_call_that_raises_does_so_where_it_is_awaited() -> None:
+def test_exception_of_disk_call_is_raised_where_awaited() -> None:
     async def work() -> None:
-        worker = DiskWorker(lambda trouble: None)
+        worker = DiskWorker(lambda failure: None)
         with pytest.raises(ZeroDivisionError):
             await worker.run(lambda: 1 // 0)
         assert await worker.run(lambda: 3) == 3
--- a/tests/control_plane/test_replication_codec.py
+++ b/tests/control_plane/test_replication_codec.py
@@ -62,33 +62,33 @@
 )
 
 
-def states() -> ControlStateCodec:
+def state_codec() -> ControlStateCodec:
     return ControlStateCodec(encode_state, decode_state)
 
 
 def codec() -> ReplicationCodec:
-    return ReplicationCodec(states())
+    return ReplicationCodec(state_codec())
 
 
-@pytest.mark.parametrize("message", MESSAGES, ids=lambda each: type(each).__name__)
-def test_every_message_comes_back(message: messages.Message) -> None:
+@pytest.mark.parametrize("message", MESSAGES, ids=lambda value: type(value).__name__)
+def test_encoded_message_decodes_unchanged(message: messages.Message) -> None:
     assert codec().decode(codec().encode(MemberId("10.0.0.1/0"), message)) == ReceivedMessage(
         MemberId("10.0.0.1/0"), message
     )
 
 
-def test_every_kind_of_message_is_tried() -> None:
+def test_messages_cover_every_message_type() -> None:
     assert {type(message) for message in MESSAGES} == set(messages.Message.__args__)
 
 
 @pytest.mark.parametrize("data", [b"", b"\xff\xff", b"\x0a\x03abc", b"\x0a\x01a\x92\x01\x02\x08"])
-def test_what_is_no_message_is_a_failure(data: bytes) -> None:
-    found = codec().decode(data)
-    assert isinstance(found, Failure)
-    assert found.code is ResultCode.MESSAGE_INVALID
+def test_invalid_bytes_decode_to_failure(data: bytes) -> None:
+    decoded = codec().decode(data)
+    assert isinstance(decoded, Failure)
+    assert decoded.code is ResultCode.MESSAGE_INVALID
 
 
-def test_a_garbled_message_never_raises() -> None:
+def test_damaged_message_never_raises() -> None:
     for message in MESSAGES:
         whole = codec().encode(MemberId("10.0.0.1/0"), message)
         for position in range(0, len(whole), max(1, len(whole) // 60)):
@@ -98,7 +98,7 @@
             assert isinstance(codec().decode(whole[:position]), ReceivedMessage | Failure)
 
 
-def test_large_data_is_compressed_and_checked() -> None:
+def test_large_data_is_compressed_and_damage_is_detected() -> None:
     data = b"abc" * MIN_COMPRESSED_BYTES
     assert len(pack(data)) < len(data) // 10
     assert unpack(pack(data)) == data
--- a/tests/control_plane/test_worker_snapshot.py
+++ b/tests/control_plane/test_worker_snapshot.py
@@ -22,7 +22,7 @@
 NOW = 1_000 * 10**9
 
 
-class Node:
+class FakeNode:
     """Fake of a cluster node: an item table that is connected to no other node."""
 
     def __init__(self) -> None:
@@ -37,14 +37,14 @@
     return worker_item(Publication(name, WorkerVersion(sequence), worker))
 
 
-def left(name: str) -> Item:
-    goodbye = WorkerRegistry(1, 0).deregister(name, 0)
-    return worker_item(goodbye[0])
+def left_item(name: str) -> Item:
+    publications = WorkerRegistry(1, 0).deregister(name, 0)
+    return worker_item(publications[0])
 
 
 def save(disk: ModelDisk, items: Iterable[Item], at: int = NOW) -> None:
     async def body() -> None:
-        node = Node()
+        node = FakeNode()
         node.publish(items)
         snapshot = WorkerSnapshot(node, disk, lambda: at)
         await snapshot.save()
@@ -55,7 +55,7 @@
 
 def restore(disk: ModelDisk, known: Iterable[Item] = (), at: int = NOW) -> dict[str, Item]:
     async def body() -> dict[str, Item]:
-        node = Node()
+        node = FakeNode()
         node.publish(known)
         snapshot = WorkerSnapshot(node, disk, lambda: at)
         await snapshot.restore()
@@ -65,40 +65,40 @@
     return asyncio.run(body())
 
 
-def test_workers_are_known_again_after_a_restart_and_those_that_left_are_not() -> None:
+def test_restart_restores_workers_except_those_that_left() -> None:
     disk = ModelDisk()
-    save(disk, [item("a", 3), item("b", 5, WorkerState.DRAINING), left("c")])
+    save(disk, [item("a", 3), item("b", 5, WorkerState.DRAINING), left_item("c")])
     assert restore(disk) == {"a": item("a", 3), "b": item("b", 5, WorkerState.DRAINING)}
 
 
-def test_a_later_save_replaces_an_earlier_one_also_where_it_is_shorter() -> None:
+def test_shorter_later_save_replaces_earlier_save() -> None:
     disk = ModelDisk()
     save(disk, [item("a", 3), item("b", 5)])
     save(disk, [item("a", 4)])
     assert restore(disk) == {"a": item("a", 4)}
 
 
-def test_what_is_heard_of_a_worker_outweighs_the_snapshot_before_and_after_the_restore() -> None:
+def test_newer_worker_updates_override_snapshot_before_and_after_restore() -> None:
     disk = ModelDisk()
     save(disk, [item("a", 3), item("b", 3), item("c", 3)])
-    drains, gone = item("a", 4, WorkerState.DRAINING), left("b")
-    restored = restore(disk, [drains, gone])
-    assert restored == {"a": drains, "b": gone, "c": item("c", 3)}
+    draining_a, left_b = item("a", 4, WorkerState.DRAINING), left_item("b")
+    restored = restore(disk, [draining_a, left_b])
+    assert restored == {"a": draining_a, "b": left_b, "c": item("c", 3)}
     table = ItemTable()
     table.merge(restored.values())
-    assert table.merge([left("c")])
+    assert table.merge([left_item("c")])
     assert not table.merge([item("c", 3)])
 
 
 @pytest.mark.parametrize("age", [MAX_AGE_NS + 1, -1])
-def test_a_snapshot_that_is_old_or_of_a_later_time_is_left_unused(age: int) -> None:
+def test_old_or_future_snapshot_is_ignored(age: int) -> None:
     disk = ModelDisk()
     save(disk, [item("a", 3)])
     assert restore(disk, at=NOW + age) == {}
     assert restore(disk, at=NOW + MAX_AGE_NS) == {"a": item("a", 3)}
 
 
-def test_a_damaged_snapshot_is_left_unused() -> None:
+def test_damaged_snapshot_is_ignored() -> None:
     data = encode_snapshot([item("a", 3)], NOW)
     for cut in range(len(data)):
         assert decode_snapshot(data[:cut], NOW) == ()
@@ -107,7 +107,7 @@
     assert decode_snapshot(data, NOW) == (item("a", 3),)
 
 
-def test_a_disk_that_refuses_ends_nothing() -> None:
+def test_full_disk_does_not_prevent_later_saves() -> None:
     disk = ModelDisk()
     disk.is_full = True
     save(disk, [item("a", 3)])
