--- a/tests/control_plane/test_changes.py
+++ b/tests/control_plane/test_changes.py
@@ -275,6 +275,7 @@
 
 
 def test_current_configuration_on_another_generation_is_refused() -> None:
+    """Guards against two accepted changes that build on the same generation."""
     state = apply_all(CONFIGURED, put(edited(unchanged, 9), 7), put(edited(unchanged, 12), 9))
     document = edited(unchanged, 12)
     assert failure_code(state, put(document, 7)) is ResultCode.CONFIG_STALE_MATCH
@@ -292,6 +293,7 @@
 
 
 def test_configuration_equal_in_python_but_not_in_json_is_not_the_current_one() -> None:
+    """Guards against comparing JSON documents with Python's `==`, for which `1` and `true` are equal."""
     document = copy.deepcopy(CONFIGURATION)
     document["routes"][0]["sticky"] = 1
     assert failure_code(CONFIGURED, put(document, 0)) is ResultCode.CONFIG_STALE_MATCH
--- a/tests/control_plane/test_operator_api.py
+++ b/tests/control_plane/test_operator_api.py
@@ -247,6 +247,8 @@
 
 
 def test_accepted_change_is_acknowledged_again_after_limits_are_lowered() -> None:
+    """Guards against answering 413 to the retry of an accepted change whose body exceeds the lowered limit."""
+
     async def body(caller: Caller) -> None:
         await caller.put(CONFIGURATION | {"limits": {"max_body_bytes": 8 << 20}})
         large = CONFIGURATION | {"generation": 8, "x": "y" * (5 << 20), "limits": {"max_body_bytes": 8 << 20}}
--- a/tests/control_plane/test_replicated_state.py
+++ b/tests/control_plane/test_replicated_state.py
@@ -155,6 +155,8 @@
 
 
 def test_electorate_listeners_receive_ip_addresses_of_witnesses() -> None:
+    """Electorate listeners need the witnesses, because grants of the witnesses count for the contact lease."""
+
     async def work() -> None:
         system = System()
         notified: dict[str, list[list[set[str]]]] = {ip: [] for ip in IPS}
