--- a/tests/control_plane/test_registry.py
+++ b/tests/control_plane/test_registry.py
@@ -301,7 +301,7 @@
 
 
 @pytest.mark.parametrize("end", ["draining", "DELETE"])
-def test_the_end_of_a_worker_is_acknowledged_only_when_a_majority_holds_it(end: str) -> None:
+def test_end_of_worker_is_acknowledged_only_after_majority_stored_it(end: str) -> None:
     """Guards against acknowledging the end of a worker because the node's contact lease is still valid.
 
     A valid lease does not show that a majority of the control nodes has stored what the node publishes now.
--- a/tests/leases/test_contact_faults.py
+++ b/tests/leases/test_contact_faults.py
@@ -150,7 +150,7 @@
     (newer_versions_not_requested,
      tree.test_a_lost_push_of_a_configuration_is_asked_for_after_the_next_keepalive),
     (worker_end_acknowledged_on_earlier_lease,
-     partial(registry.test_the_end_of_a_worker_is_acknowledged_only_when_a_majority_holds_it, "draining")),
+     partial(registry.test_end_of_worker_is_acknowledged_only_after_majority_stored_it, "draining")),
     (exchange_always_recent,
      cuts.test_paused_control_node_has_no_contact_until_a_new_request_is_granted),
     (exchange_always_recent, cuts.test_control_node_that_receives_nothing_has_no_recent_exchange),
