--- a/canvasbeam/__init__.py
+++ b/canvasbeam/__init__.py
@@ -1,6 +1,6 @@
-"""canvasbeam: the decisions of a dispatcher that pushes jobs to workers in priority rings.
+"""canvasbeam: a load-balancing dispatcher that pushes jobs to workers in priority rings.
 
-The dispatcher is imported with its first use: a control process starts faster without it.
+The package imports `Dispatcher` on first use, because a control-plane process starts faster without the import.
 """
 
 from typing import TYPE_CHECKING, Any
--- a/canvasbeam/__main__.py
+++ b/canvasbeam/__main__.py
@@ -1,4 +1,7 @@
-"""The scheduler: reads the environment and LB_CONFIG, and serves. Any argument goes to the command line."""
+"""Run the scheduler with the configuration in the environment variables and `LB_CONFIG`.
+
+With any command-line argument, run the command-line interface of canvasbeam instead.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,10 @@
 
 
 def main() -> int:
-    """Serve; 1 with one line on standard error where the configuration is bad."""
+    """Run the scheduler to its end; return the exit code.
+
+    The exit code is 1, after one line on standard error, if the configuration is invalid or a socket operation fails.
+    """
     signals = Signals.catch()
     logging.basicConfig(format="%(asctime)s %(levelname)s %(name)s: %(message)s", level=logging.INFO)
     try:
@@ -35,7 +41,7 @@
 
 if __name__ == "__main__":
     if len(sys.argv) > 1:
-        # Any argument is for the command line, whose libraries a bare scheduler must not load.
+        # Imported only if there is an argument, because the scheduler must not load the libraries of the command line.
         from canvasbeam.cli import main as command_line
 
         command_line()
--- a/canvasbeam/errors.py
+++ b/canvasbeam/errors.py
@@ -1,6 +1,6 @@
-"""Numbered result codes, and the sentinel value that carries one with its reason.
+"""Numbered result codes, and `Failure`, the return value that pairs a result code with a reason.
 
-Functions of the system return a `Failure` where something expected went wrong; exceptions are for faults in the program
+Functions return a `Failure` for an expected error, such as a full disk; exceptions are for faults in the program
 itself. `docs/result-codes.md` is generated from `ResultCode`.
 """
 
@@ -11,10 +11,10 @@
 
 
 class ResultCode(IntEnum):
-    """What became of a call. The numbers are stable: they appear in logs, answers and exit reports."""
+    """Result of an operation. The numbers must not change, because logs, responses and exit reports contain them."""
 
     def __new__(cls, number: int, meaning: str) -> ResultCode:
-        """Create a member whose value is its number."""
+        """Create an enum member with `number` as its value and `meaning` as an attribute."""
         member = int.__new__(cls, number)
         member._value_ = number
         member.meaning = meaning
@@ -23,11 +23,11 @@
     meaning: str
 
     OK = 0, "done"
-    # 1xx: settings and start
+    # 1xx: settings and process start
     SETTINGS_UNREADABLE = 101, "the settings file cannot be read or is not TOML"
     SETTINGS_INVALID = 102, "a key of the settings file is missing or breaks a rule"
     ADDRESS_IN_USE = 103, "a listening address could not be bound"
-    # 2xx: orders of the operator
+    # 2xx: requests to the operator API
     CONFIG_UNREADABLE = 201, "the body is not a whole JSON document"
     CONFIG_SCHEMA = 202, "the configuration does not match the schema"
     CONFIG_UNKNOWN_SERVICE = 203, "a route names a service that is not configured"
@@ -65,7 +65,7 @@
     REGISTRATION_INVALID = 601, "a heartbeat of a worker misses a field or breaks a rule"
     REGISTRATION_STALE = 602, "a heartbeat is older than one already taken"
     REGISTRATION_TOO_LARGE = 603, "a heartbeat is larger than the limit"
-    # 7xx: requests of clients
+    # 7xx: client requests
     REQUEST_INVALID = 701, "the request cannot be understood"
     REQUEST_NO_ROUTE = 702, "no route fits the host and path"
     REQUEST_TOO_LARGE = 703, "the body is larger than the limit"
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """An expected failure: its code, and the particulars in one sentence."""
+    """An expected failure: a result code, and the details of the failure in one sentence."""
 
     code: ResultCode
     reason: str
--- a/canvasbeam/runtime/__init__.py
+++ b/canvasbeam/runtime/__init__.py
@@ -1,9 +1,11 @@
-"""What both programs of the system share, below all their decisions: settings, logs, signals, listeners and servers.
+"""Process infrastructure of the control plane and the data plane: settings, logs, signals, listeners, HTTP servers.
 
-It owns the frame of a process. It must know nothing of the control plane or the data plane, nor import from them.
+The package makes no decision for the control plane or the data plane, and must not import from either: both depend on
+this package.
 
-Where to start reading: `process.py` runs a program from its settings to its exit code, with `settings.py`, `logs.py`
-and `signals.py`. `listeners.py` opens sockets before the rest is imported; `http_server.py` and `http_connection.py`
-serve HTTP/1.1 on them. `planned_shutdown.py` (pure) decides which requests are still taken while a process ends;
-`process_incarnation.py` (pure) tells one run of a process from another. `unused_imports.py` saves memory at the start.
+Start reading at `process.py`, which runs a program from reading the settings to returning the exit code and uses
+`settings.py`, `logs.py` and `signals.py`. `listeners.py` opens listening sockets before the other modules are imported;
+`http_server.py` and `http_connection.py` serve HTTP/1.1 on these sockets. `planned_shutdown.py` (pure) decides which
+requests a terminating process still accepts; `process_incarnation.py` (pure) distinguishes a process from its
+predecessor at the same address. `unused_imports.py` reduces memory use by blocking imports of unused libraries.
 """
--- a/canvasbeam/runtime/http_connection.py
+++ b/canvasbeam/runtime/http_connection.py
@@ -1,15 +1,16 @@
-"""One connection of a client to an `HttpServer`: hypercorn's HTTP/1.1 protocol with timers and an orderly end.
+"""A client connection of an `HttpServer`: hypercorn's HTTP/1.1 protocol with timeouts and a graceful close.
 
-It owns the connection's bytes, its timer, and whether it is idle or busy. What the app answers is passed on unchanged.
-It must never let an answer that was broken off look complete.
+`ClientConnection` owns the buffers, the timer and the activity (idle, reading head or busy) of the connection. The
+responses of the app are sent unchanged. A truncated response must never look complete, because the client would accept
+the response as whole.
 
-| activity of a connection | timer | to |
+| activity | timeout that closes the connection | next activity |
 | --- | --- | --- |
-| idle: at the start, and after each answer | `idle_timeout_s`, then it is closed | reading head: a byte came |
-| reading head | `header_timeout_s`, then it is closed | busy: the head of a request is complete |
-| busy | none | idle: the answer is complete |
+| idle: initially, and after each response | `idle_timeout_s` | reading head, when a byte arrives |
+| reading head | `header_timeout_s` | busy, when the head of a request is complete |
+| busy | none | idle, when the response is complete |
 
-Every change goes through `ClientConnection._enter`.
+Every change of activity goes through `ClientConnection._enter`.
 """
 
 from __future__ import annotations
@@ -31,19 +32,20 @@
 from hypercorn.protocol.h11 import H11Protocol
 from hypercorn.typing import AppWrapper, ConnectionState
 
-FLUSH_BYTES = 65536
-MAX_READ_AHEAD_BYTES = 65536  # read from a client while an earlier request of its connection is answered
-NO_REQUEST_LIMIT = 1 << 62  # answers on a connection before one carries `Connection: close`
-# In the state of a scope: when, by the loop's clock, the connection was opened or its former answer was complete. A
-# client that does not pipeline sent its request after that.
+FLUSH_BYTES = 65536  # buffered output bytes of a connection that cause an immediate write
+MAX_READ_AHEAD_BYTES = 65536  # limit on the bytes of pipelined requests that are buffered for a connection
+NO_REQUEST_LIMIT = 1 << 62  # responses on a connection before a response carries `Connection: close`
+# Key in the state of an ASGI scope. The value is the time on the event loop's clock, in seconds, at which the
+# connection was opened or its previous response was complete. A client that does not pipeline sent the request after
+# this time.
 IDLE_SINCE = "at_rest_since"
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # the value of SO_LINGER by which a close resets the connection
+RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER with which closing the socket resets the connection
 
 log = logbook.Logger("http")
 
 
 class Activity(Enum):
-    """What a connection is doing."""
+    """State of a connection between requests and during a request."""
 
     IDLE = "idle"
     READING_HEAD = "reading head"
@@ -52,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpLimits:
-    """What a client may send and how long it may take; all of it may change while the server runs."""
+    """Limits on the connections and request heads of clients; every limit may change while the server runs."""
 
     max_header_bytes: int = 16384
     header_timeout_s: float = 3.0
@@ -61,13 +63,14 @@
 
 
 class _ClientDisconnectedError(Exception):
-    """The client closed its connection while a later request on it waited for its turn."""
+    """The client closed its connection while a pipelined request waited for the response to the previous request."""
 
 
 class _Turn:
-    """Hypercorn's event for the turn of a later request on a connection.
+    """Replacement for hypercorn's `can_read` event, which delays a pipelined request until the previous response ends.
 
-    Hypercorn reads nothing while it waits for this event, and so would not notice that the client leaves.
+    Hypercorn does not read from the connection while waiting for the event, and so would not notice that the client
+    disconnects; `wait` of this class reads ahead to detect a disconnect.
     """
 
     def __init__(self, read_until_disconnected: Callable[[], Awaitable[bool]]) -> None:
@@ -75,15 +78,15 @@
         self._has_come = asyncio.Event()
 
     async def set(self) -> None:
-        """Let the next request go on: the one before has its answer."""
+        """Allow the next request on the connection: the previous response is complete."""
         self._has_come.set()
 
     async def clear(self) -> None:
-        """Let the next request wait: the one before has no answer yet."""
+        """Delay the next request on the connection: the previous response is not complete."""
         self._has_come.clear()
 
     async def wait(self) -> None:
-        """Return when the turn has come; raises `_ClientDisconnectedError` where the client leaves before that."""
+        """Wait for the previous response to end; raise `_ClientDisconnectedError` if the client disconnects first."""
         came = asyncio.ensure_future(self._has_come.wait())
         reading = asyncio.ensure_future(self._read_until_disconnected())
         try:
@@ -94,12 +97,12 @@
         finally:
             came.cancel()
             reading.cancel()
-            await asyncio.wait((came, reading))  # two may not read from a connection at once
+            await asyncio.wait((came, reading))  # a StreamReader allows only one pending read
 
 
 @dataclass(slots=True)
 class ConnectionSettings:
-    """What all connections of a server share; `limits` may be replaced while they are open."""
+    """State shared by all connections of a server; `limits` may be replaced while connections are open."""
 
     app: AppWrapper
     config: Config
@@ -108,7 +111,7 @@
 
 
 class ClientConnection(TCPServer):
-    """One connection of a client."""
+    """A client connection: reads requests, runs the app and sends the responses."""
 
     def __init__(
         self, settings: ConnectionSettings, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -116,7 +119,7 @@
         loop = asyncio.get_running_loop()
         super().__init__(settings.app, loop, settings.config, settings.context, {}, reader, writer)
         self._settings = settings
-        self._state = ConnectionState({})  # of which the scope of each request is given a copy
+        self._state = ConnectionState({})  # copied into the ASGI scope of each request
         self._timer: asyncio.TimerHandle | None = None
         self._unsent = bytearray()
         self._read_ahead_bytes = bytearray()
@@ -125,16 +128,16 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no byte of a request has been read since the last answer."""
+        """True if no byte of a request has been read since the last response."""
         return self._activity is Activity.IDLE
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request is in progress."""
+        """True if a request is in progress."""
         return self._activity is Activity.BUSY
 
     async def run(self) -> None:
-        """Serve requests until either side closes."""
+        """Serve requests until the client or the server closes the connection."""
         client = self.writer.get_extra_info("peername")
         local = self.writer.get_extra_info("sockname")
         try:
@@ -160,16 +163,16 @@
             await self._close()
 
     def close_in_order(self) -> None:
-        """Close the connection in an orderly way; what is unsent is sent first."""
+        """Send the buffered output, then close the connection."""
         self._flush()
         self.writer.close()
 
     def abort(self) -> None:
-        """Reset the connection."""
+        """Close the connection immediately and discard its unsent output."""
         self.writer.transport.abort()
 
     async def protocol_send(self, event: Event) -> None:
-        """Take bytes and changes of state from the protocol."""
+        """Handle an event of the protocol: bytes to send, a close, or a change between idle and busy."""
         if isinstance(event, RawData):
             await self._send_bytes(event.data)
         elif isinstance(event, Closed):
@@ -197,14 +200,14 @@
         await self.protocol.handle(Closed())
 
     async def _next_bytes(self) -> bytes:
-        """Return what was read ahead, or else what comes next."""
+        """Return the bytes that were read ahead, if any, or else the next bytes read from the connection."""
         if not self._read_ahead_bytes:
             return await self.reader.read(MAX_RECV)
         data, self._read_ahead_bytes = bytes(self._read_ahead_bytes), bytearray()
         return data
 
     async def _read_ahead(self) -> bool:
-        """Keep what the client sends while it waits, up to a bound; return whether it has disconnected."""
+        """Buffer up to `MAX_READ_AHEAD_BYTES` of pipelined requests; return True if the client disconnects."""
         while len(self._read_ahead_bytes) < MAX_READ_AHEAD_BYTES:
             try:
                 data = await self.reader.read(MAX_RECV)
@@ -216,7 +219,7 @@
         return False
 
     async def _send_bytes(self, data: bytes) -> None:
-        """Gather what is written in one turn of the loop, so that a short answer leaves in one piece."""
+        """Buffer the output of one event-loop iteration, so that a short response needs one system call."""
         self._unsent += data
         if len(self._unsent) >= FLUSH_BYTES:
             self._flush()
@@ -241,14 +244,17 @@
         await super()._close()
 
     def _is_unmarked_end(self) -> bool:
-        """Whether an answer is broken off whose end only that of the connection marks: HTTP/1.0 has no chunks."""
+        """Return True if closing now would truncate a response whose end is marked only by the end of the connection.
+
+        Only HTTP/1.0 clients get such responses, because HTTP/1.0 has no chunked encoding.
+        """
         connection = self.protocol.connection if isinstance(self.protocol, H11Protocol) else None
         return (
             connection is not None and connection.our_state is h11.SEND_BODY and connection.their_http_version == b"1.0"
         )
 
     def _reset(self) -> None:
-        """Reset the connection, so that nothing of the answer looks complete."""
+        """Reset the connection with a TCP RST, so that the client does not accept a truncated response as complete."""
         client = self.writer.get_extra_info("socket")
         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
         self.abort()
@@ -258,7 +264,7 @@
         self._enter(Activity.IDLE, self._settings.limits.idle_timeout_s)
 
     def _enter(self, activity: Activity, timeout_s: float | None) -> None:
-        """Change the activity; the connection is closed where it does not change again within the time."""
+        """Change the activity; close the connection if the activity does not change again within `timeout_s`."""
         self._activity = activity
         self._stop_timer()
         if timeout_s is not None:
@@ -271,10 +277,10 @@
 
 
 class _Http1Protocol(H11Protocol):
-    """Hypercorn's HTTP/1.1 without the ways to other protocols."""
+    """Hypercorn's HTTP/1.1 protocol without upgrades to HTTP/2 or WebSocket."""
 
     async def _check_protocol(self, event: h11.Request) -> None:
-        """Pass every request on as HTTP/1.1, whatever its `Upgrade` asks."""
+        """Treat every request as HTTP/1.1, whatever its `Upgrade` header requests."""
 
     async def _create_stream(self, request: h11.Request) -> None:
         await super()._create_stream(_without_upgrade(request))
@@ -288,21 +294,21 @@
 
 
 class _HypercornLog:
-    """What hypercorn logs, without a line for each request; it passes arguments of any type."""
+    """Logger for hypercorn that writes exceptions and omits access logs; hypercorn passes arguments of any type."""
 
     def __init__(self, config: Config) -> None:
         pass
 
     async def access(self, *_: object) -> None:
-        """Take no note of a request."""
+        """Omit the access log record of a request."""
 
     async def exception(self, message: str, *arguments: object, **_: object) -> None:
-        """Report the exception of an app."""
+        """Log an exception raised by an app."""
         log.exception(message, *arguments)
 
 
 def hypercorn_config() -> Config:
-    """Return the settings of hypercorn's protocol that all servers share."""
+    """Return a hypercorn configuration with the settings common to all servers."""
     config = Config()
     config.logger_class = _HypercornLog  # type: ignore[assignment]
     config.include_server_header = False
--- a/canvasbeam/runtime/http_server.py
+++ b/canvasbeam/runtime/http_server.py
@@ -1,12 +1,12 @@
-"""An HTTP/1.1 server on one address: hypercorn's protocol under connections whose times and end the caller decides.
+"""An HTTP/1.1 server on one address, built on hypercorn's protocol, with its own timeouts, limits and drain.
 
-Hypercorn supplies the parsing, the ASGI interface and the back-pressure. Added here and in `http_connection.py`: a time
-for the head of a request apart from that for an idle connection, limits that may change while the server runs, one
-system call for a short answer, and a drain that announces the close of a connection before it happens. HTTP/2 and
-WebSocket are not spoken.
+Hypercorn supplies parsing, the ASGI interface and back-pressure. This module and `http_connection.py` add: a timeout
+for the head of a request that is separate from the idle timeout, limits that may change while the server runs, a single
+system call for a short response, and a drain that sends `Connection: close` before a connection is closed.
+HTTP/2 and WebSocket are not supported.
 
-An app that raises before its answer began is answered 500; one that raises later has its connection closed without the
-end of the body, so that a partial answer never looks complete.
+If an app raises before its response starts, the server responds 500. If an app raises later, the server closes the
+connection without ending the body, so that a partial response never looks complete.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 
 __all__ = ["IDLE_SINCE", "App", "HttpLimits", "HttpServer", "Message", "Receive", "Scope", "Send"]
 
-CLOSE_AFTER_EACH_ANSWER = 0  # answers after this many on a connection carry `Connection: close`
+CLOSE_AFTER_EACH_ANSWER = 0  # value of `keep_alive_max_requests` with which every response carries `Connection: close`
 
-# As the ASGI specification has them: mappings with values of several types.
+# Types of the ASGI specification; the mappings have values of several types.
 Scope = MutableMapping[str, Any]
 Message = MutableMapping[str, Any]
 Receive = Callable[[], Awaitable[Message]]
@@ -48,7 +48,8 @@
 class HttpServer:
     """Serves one ASGI app on one address.
 
-    It owns the listening socket and the set of open connections; each `ClientConnection` owns its own bytes and timer.
+    The server owns the listening socket and the set of open connections; each `ClientConnection` owns its buffers and
+    its timer.
     """
 
     def __init__(
@@ -73,34 +74,37 @@
         self.apply_limits(self._settings.limits)
 
     def apply_limits(self, limits: HttpLimits) -> None:
-        """Take other limits: timers that start from now on and connections opened from now on use them."""
+        """Replace the limits; the new limits apply to timers started and connections opened after this call."""
         self._settings.limits = limits
         self._settings.config.h11_max_incomplete_size = limits.max_header_bytes
 
     @property
     def limits(self) -> HttpLimits:
-        """The limits that are in force."""
+        """Limits currently in force."""
         return self._settings.limits
 
     @property
     def connection_count(self) -> int:
-        """How many connections of clients are open."""
+        """Number of open client connections."""
         return len(self._connections)
 
     @property
     def busy_count(self) -> int:
-        """How many connections have a request in progress."""
+        """Number of connections with a request in progress."""
         return sum(connection.is_busy for connection in self._connections)
 
     @property
     def port(self) -> int:
-        """The port that is listened on; it differs from the address's only where that one is 0."""
+        """Listening port; differs from the port of the configured address only if the configured port is 0."""
         if self._server is None or not self._server.sockets:
             return self._address.port
         return int(self._server.sockets[0].getsockname()[1])
 
     async def start(self) -> Failure | None:
-        """Accept connections, with those that have waited where a listener was given; return why it cannot."""
+        """Accept connections, including those in the backlog of a listener passed to the constructor.
+
+        Return a `Failure` if the address cannot be bound.
+        """
         try:
             listener = self._listener or open_listener(self._address)
             self._server = await asyncio.start_server(self._serve, sock=listener, backlog=LISTEN_BACKLOG)
@@ -109,22 +113,25 @@
         return None
 
     def stop_accepting(self) -> None:
-        """Close the listening socket; open connections go on."""
+        """Close the listening socket; open connections stay open."""
         if self._server is not None:
             self._server.close()
 
     def announce_close(self) -> None:
-        """Let each answer end its connection from now on and say so; idle connections stay open."""
+        """Add `Connection: close` to each further response and close its connection; idle connections stay open."""
         self._settings.config.keep_alive_max_requests = CLOSE_AFTER_EACH_ANSWER
 
     def close_idle(self) -> None:
-        """Close the connections on which no byte of a request has been read."""
+        """Close the idle connections: those without a byte of a request since the last response."""
         for connection in tuple(self._connections):
             if connection.is_idle:
                 connection.close_in_order()
 
     async def drain(self, timeout_s: float) -> bool:
-        """Accept nothing more and let the calls in progress end; return whether all have within the time."""
+        """Stop accepting, close idle connections and wait up to `timeout_s` for the requests in progress.
+
+        Return True if all connections were closed within `timeout_s`.
+        """
         self.stop_accepting()
         self.announce_close()
         await self._settings.context.terminated.set()
@@ -137,7 +144,7 @@
         return True
 
     async def close(self) -> None:
-        """Accept nothing more and abort what is still open."""
+        """Stop accepting and abort all open connections."""
         self.stop_accepting()
         for connection in tuple(self._connections):
             connection.abort()
@@ -153,7 +160,7 @@
         try:
             await connection.run()
         except Exception:
-            log.exception("connection ended reason=a fault")
+            log.exception("connection closed reason=unhandled exception")
             writer.transport.abort()
         finally:
             self._connections.discard(connection)
--- a/canvasbeam/runtime/listeners.py
+++ b/canvasbeam/runtime/listeners.py
@@ -1,7 +1,7 @@
-"""Listening sockets, opened before the rest of a program is imported.
+"""Listening sockets that are opened before the other modules of a program are imported.
 
-The imports take most of the time of a start. A client that connects meanwhile waits in the backlog of the socket and is
-served once the program runs; without the socket it would be refused.
+Imports take most of the startup time. A client that connects during the imports waits in the backlog of the socket and
+is served once the program runs; without the open socket, the connection would be refused.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def open_listener(address: Address) -> socket.socket:
-    """Return a socket that listens on this address; raises `OSError` where that is not possible."""
+    """Return a non-blocking socket that listens on `address`; raise `OSError` if the address cannot be bound."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -32,9 +32,10 @@
 
 
 def open_listeners(names: Iterable[str]) -> dict[str, socket.socket]:
-    """Return the listeners of these names in the settings file.
+    """Open a listener for each of the given names that has an address in the `listen` table of the settings file.
 
-    One that fails is left out: the program meets the error again, and reports it.
+    Listeners that cannot be opened are omitted without an error, and so are all listeners if the settings file is
+    invalid: the program then gets the same error when it starts, and reports the error.
     """
     settings = load_settings(settings_path())
     if isinstance(settings, Failure):
--- a/canvasbeam/runtime/logs.py
+++ b/canvasbeam/runtime/logs.py
@@ -1,8 +1,9 @@
-"""The log of both programs: one line a record, to standard error, bounded in a storm.
+"""Log of the control-plane and data-plane processes: one line per record on standard error, rate-limited by call site.
 
-A line is `time LEVEL node epoch=N channel: message [request=ID]`. Each call site may write `BURST` records in
-a window of `WINDOW_S`; what goes beyond is counted, and the count is told by the next line of that place or by a line
-of its own once the window is over. `{}` in a message is filled from the arguments, as logbook does.
+The format of a line is `time LEVEL node epoch=N channel: message [request=ID] [suppressed=COUNT]`. Each call site may
+write `BURST` records in a window of `WINDOW_S` seconds; further records are suppressed and counted. The next line of
+the same call site reports the count; if there is none by the end of the window, a separate line reports the count.
+logbook replaces each `{}` in a message with an argument.
 
     log = get_logger(__name__)
     log.warning("worker {} closed the connection", worker_id, extra={"request_id": request_id})
@@ -35,7 +36,7 @@
 
 @dataclass(slots=True)
 class _SiteWindow:
-    """How much one call site has written since `started_at`."""
+    """Counts of records that a call site wrote and that were suppressed in the window since `started_at`."""
 
     started_at: float
     written: int = 0
@@ -43,7 +44,7 @@
 
 
 class RateLimit:
-    """Counts the records of each call site in fixed windows of time."""
+    """Limits the records of each call site to `burst` in each fixed window of `window_s` seconds."""
 
     def __init__(self, clock: Clock, burst: int = BURST, window_s: float = WINDOW_S) -> None:
         self._clock = clock
@@ -53,7 +54,7 @@
         self._next_sweep_at = clock() + window_s
 
     def admit(self, site: CallSite) -> bool:
-        """Whether one more record of this call site may be written now; a refusal is counted."""
+        """Return True if the call site may write another record now; otherwise count the record as suppressed."""
         now = self._clock()
         window = self._sites.get(site)
         if window is None:
@@ -68,15 +69,16 @@
         return True
 
     def take_suppressed(self, site: CallSite) -> int:
-        """Return how many records of a call site were refused since the last call."""
+        """Return the number of suppressed records of a call site, and reset the number to 0."""
         window = self._sites[site]
         suppressed, window.suppressed = window.suppressed, 0
         return suppressed
 
     def finished_storms(self, *, all_windows: bool = False) -> list[tuple[CallSite, int]]:
-        """Return the call sites whose window is over, with how many records were refused.
+        """Return the call sites with suppressed records in a finished window, and reset the numbers of these records.
 
-        Looks at most once a window, except for `all_windows`.
+        Each item is a call site and its number of suppressed records. With `all_windows`, include unfinished windows;
+        otherwise, scan the call sites at most once every `window_s` seconds and return an empty list in between.
         """
         now = self._clock()
         if now < self._next_sweep_at and not all_windows:
@@ -103,7 +105,7 @@
         self._limit = RateLimit(clock, burst)
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write a record, or count it where its call site has written enough."""
+        """Write the record, or count the record as suppressed if its call site exceeds the rate limit."""
         frame = record.calling_frame
         site: CallSite = (None, 0) if frame is None else (frame.f_code, frame.f_lineno)
         if not self._limit.admit(site):
@@ -119,13 +121,13 @@
         self._write(record.level_name, record.channel or "", message)
 
     def report_suppressed(self, *, all_windows: bool = False) -> None:
-        """Log how much was suppressed at call sites that have written nothing since their window ended."""
+        """Log the number of suppressed records of each call site that wrote nothing after the end of its window."""
         for (code, line), count in self._limit.finished_storms(all_windows=all_windows):
             file = "unknown" if code is None else code.co_filename.rpartition("/")[2]
             self._write("WARNING", __name__, SUPPRESSED_MESSAGE.format(count, file, line))
 
     def close(self) -> None:
-        """Log how much was suppressed and not reported yet."""
+        """Log all numbers of suppressed records that were not reported yet."""
         self.report_suppressed(all_windows=True)
 
     def _write(self, level: str, channel: str, message: str) -> None:
@@ -137,7 +139,7 @@
             self._stream.write(line)
             self._stream.flush()
         except (OSError, ValueError):
-            # Nobody reads the log any more; the program goes on without it.
+            # The stream is closed or broken; the program must continue without its log.
             return
 
 
@@ -149,7 +151,7 @@
 
 
 def _one_line(text: str) -> str:
-    """Escape control characters and cut a long text, so that a record is one line whatever it quotes."""
+    """Escape control characters and truncate long text, so that a record is one line for any quoted input."""
     if len(text) > MAX_MESSAGE_CHARACTERS:
         text = f"{text[:MAX_MESSAGE_CHARACTERS]}... ({len(text)} characters)"
     if text.isprintable():
@@ -158,10 +160,10 @@
 
 
 class _StandardLibraryHandler(logging.Handler):
-    """Passes on what libraries log through the standard library."""
+    """Forwards records of the standard library's `logging`, which libraries use, to the log of the process."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record of `logging` to the log."""
+        """Write a record of `logging` to the log of the process."""
         exception: Any = record.exc_info  # logbook has no type hints
         get_logger(record.name).log(
             logbook.WARNING if record.levelno < logging.ERROR else logbook.ERROR, "{}", record.getMessage(),
@@ -175,14 +177,14 @@
 
 
 def get_logger(name: str) -> logbook.Logger:
-    """Return the logger of a module; may be called before `configure`."""
+    """Return the logger of the module `name`; may be called before `configure`."""
     logger = logbook.Logger(name)
     _group.add_logger(logger)
     return logger
 
 
 def configure(settings: ProcessSettings, *, epoch: EpochSource | None = None, stream: TextIO | None = None) -> None:
-    """Send all logs of this process to standard error (or `stream`), as the settings say."""
+    """Write the log of the process to `stream` (default: standard error) at the log level of the settings."""
     global _handler  # noqa: PLW0603
     shut_down()
     _handler = LineHandler(settings.node, stream or sys.stderr, level=logbook.lookup_level(settings.log_level.upper()))
@@ -194,13 +196,13 @@
 
 
 def set_epoch(epoch: EpochSource) -> None:
-    """Take the epoch of each record from here from now on."""
+    """Set the function that returns the epoch for each further record; no effect before `configure`."""
     if _handler is not None:
         _handler.epoch = epoch
 
 
 def shut_down() -> None:
-    """Log how much was suppressed, and send no more to the stream of `configure`."""
+    """Log the numbers of suppressed records, and stop writing to the stream of `configure`."""
     global _handler  # noqa: PLW0603
     if _handler is None:
         return
--- a/canvasbeam/runtime/planned_shutdown.py
+++ b/canvasbeam/runtime/planned_shutdown.py
@@ -1,18 +1,25 @@
-"""A planned shutdown: its phases, which requests are still taken in each, and by when each is answered.
+"""A planned shutdown: the phases, and for each phase which requests are accepted and with which deadline.
 
-Pure: events and the time in whole nanoseconds in, answers out; no I/O, no clock, no sockets. It must never take a
-request that could not be answered before the platform kills the process, and never go back a phase.
+The module is pure: events and times in whole nanoseconds go in, decisions come out, without I/O, clocks or sockets. A
+request that could not be answered before the platform kills the process must never be accepted, and a phase never
+follows a later phase.
 
-| phase | from | new connections | kept connections | a new request |
+| phase | begins | new connections | open connections | a new request |
 | --- | --- | --- | --- | --- |
-| serving | the start | taken | kept | taken, due when its client says |
-| announced | the signal | taken, for what still comes | kept | taken where it can be answered, due by the last answer |
-| handing over | `window` later | refused by the kernel | kept | the same |
-| closing | the last call | | closed with their answers, the idle at once | refused at once |
-| ended | the last answer | | | all that is open is answered; the process exits by `leave` |
-
-The last call is the moment from which no class could be answered in time any more, judged by a percentile of its
-recent service times; it is never before the end of the window.
+| serving | at process start | accepted | kept open | accepted with the deadline of the client |
+| announced | at the signal | accepted: clients still connect | kept open | accepted if `last_answer` can be met |
+| handing over | `window` after the signal | refused by the kernel | kept open | as in the phase announced |
+| closing | see below | refused | closed after the response, or at once if idle | rejected at once |
+| ended | `last_answer` after the signal | refused | closed after the response | rejected at once |
+
+At the beginning of the phase ended, every open request is answered; the process exits by `leave`.
+
+A request that is accepted after the signal has the earlier of the client's deadline and `last_answer` as its deadline.
+The kernel refuses connections after the listener is closed: the scheduler closes its listener at the end of `window`,
+and the data plane at the start of the phase closing at the latest.
+
+The phase closing begins when a new request of no class could be answered by `last_answer`, judged by a quantile of the
+recent service times of each class, but never before the end of `window`.
 """
 
 from __future__ import annotations
@@ -24,7 +31,7 @@
 
 
 class Phase(IntEnum):
-    """How far a planned shutdown is; phases are only ever entered in this order."""
+    """Phase of a planned shutdown; a process enters the phases only in this order."""
 
     SERVING = 0
     ANNOUNCED = 1
@@ -35,38 +42,44 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownTimes:
-    """Spans in nanoseconds, counted from the signal except for `assumed_service_time`."""
+    """Parameters of a planned shutdown; times in nanoseconds, all but `assumed_service_time` relative to the signal."""
 
-    window: int  # new connections are still accepted: load balancers learn late
-    last_answer: int  # every request has its answer by then
-    leave: int  # the process has exited by then, before the platform kills it
-    assumed_service_time: int  # of a class before its first answer
-    quantile: float = 0.75  # the quantile of a class's service times that a new request must have left
-    max_samples: int = 64  # service times remembered for each class
+    window: int  # end of accepting new connections; later than 0 because load balancers notice a shutdown late
+    last_answer: int  # time by which every request must be answered
+    leave: int  # time by which the process must exit, before the platform kills the process
+    assumed_service_time: int  # service time of a class before its first response
+    quantile: float = 0.75  # quantile of a class's service times that must fit before `last_answer`
+    max_samples: int = 64  # recent service times kept for each class
 
     def __post_init__(self) -> None:
         if not 0 <= self.window < self.last_answer < self.leave:
-            raise ValueError("a shutdown's window, last answer and leave must follow one another")
+            raise ValueError(
+                "a shutdown's times must satisfy 0 <= window < last_answer < leave, "
+                f"not {self.window}, {self.last_answer}, {self.leave}"
+            )
         if not 0 < self.quantile <= 1 or self.max_samples < 1 or self.assumed_service_time < 0:
-            raise ValueError("a shutdown's quantile, samples or service time is out of range")
+            raise ValueError(
+                "a shutdown's parameters must satisfy 0 < quantile <= 1, max_samples >= 1, assumed_service_time >= 0, "
+                f"not {self.quantile}, {self.max_samples}, {self.assumed_service_time}"
+            )
 
 
 class PlannedShutdown:
-    """One process's planned shutdown, and the service times it has learned for it."""
+    """Planned shutdown of a process, with the recent service times of each class."""
 
     def __init__(self, times: ShutdownTimes, classes: Iterable[str]) -> None:
         self.times = times
         self._samples: dict[str, deque[int]] = {name: deque(maxlen=times.max_samples) for name in classes}
         self._begun: int | None = None
-        self._service_times: dict[str, int] = {}  # as learned when the shutdown began
+        self._service_times: dict[str, int] = {}  # quantile for each class, in nanoseconds, set by `begin`
         self._last_call = times.window
 
     def record_service_time(self, job_class: str, service_time: int) -> None:
-        """Learn the service time of a request of this class, in nanoseconds."""
+        """Record the service time of a request of class `job_class`, in nanoseconds."""
         self._samples[job_class].append(service_time)
 
     def begin(self, now: int) -> bool:
-        """Begin at the first signal; False for any later one, which changes nothing."""
+        """Begin the shutdown and return True; on a later call, return False and change nothing."""
         if self._begun is not None:
             return False
         self._begun = now
@@ -81,11 +94,11 @@
         return sorted(spans)[min(int(len(spans) * self.times.quantile), len(spans) - 1)]
 
     def elapsed(self, now: int) -> int:
-        """Return how long ago the shutdown began; 0 before it."""
+        """Return the nanoseconds since the shutdown began; 0 before the signal."""
         return 0 if self._begun is None else now - self._begun
 
     def phase(self, now: int) -> Phase:
-        """Return the phase at this time."""
+        """Return the phase at time `now`."""
         if self._begun is None:
             return Phase.SERVING
         elapsed = now - self._begun
@@ -96,7 +109,7 @@
         return Phase.HANDING_OVER if elapsed >= self.times.window else Phase.ANNOUNCED
 
     def deadline(self, now: int, job_class: str, requested: int) -> int | None:
-        """Return by when a request that came now is answered; None where it is rejected at once."""
+        """Return the deadline of a request that arrives at `now`, or None if the request is rejected at once."""
         if self._begun is None:
             return requested
         last = self._begun + self.times.last_answer
@@ -105,7 +118,7 @@
         return min(requested, last)
 
     def phase_times(self) -> tuple[int, ...]:
-        """Return when each phase after the announcement begins, and when the process exits; empty before the signal."""
+        """Return the start times of the phases after ANNOUNCED, then the exit time; empty before the signal."""
         if self._begun is None:
             return ()
         spans = (self.times.window, self._last_call, self.times.last_answer, self.times.leave)
--- a/canvasbeam/runtime/process.py
+++ b/canvasbeam/runtime/process.py
@@ -1,6 +1,6 @@
-"""The outer frame of a process: its settings, its log, its event loop, its signals, and the exit codes.
+"""Runs a program as a process: reads the settings, sets up the log, event loop and signals, and returns the exit code.
 
-It knows no program: each hands in its parts as a `Program`.
+The module imports no program: each program passes its parts as a `Program`.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 EXIT_OK = 0
 EXIT_SETTINGS = 2
 EXIT_START = 3
-LEAVE_FLUSH_S = 0.05  # between the notice that a process leaves the cluster and the close of its connections
+LEAVE_FLUSH_S = 0.05  # seconds between the message that a process leaves the cluster and the close of its connections
 
 log = logs.get_logger(__name__)
 
 
 class Program(Protocol):
-    """The parts of one process."""
+    """Interface that the program of a process implements."""
 
     async def start(self) -> Failure | None:
-        """Begin to serve; return the failure where that is not possible."""
+        """Start serving; return a `Failure` if the program cannot start."""
 
     def change_settings(self, settings: ProcessSettings) -> None:
-        """Apply changed settings."""
+        """Apply the changed settings."""
 
     async def stop(self) -> None:
-        """End in order."""
+        """Shut down gracefully."""
 
 
 async def run_until_terminated(program: Program, settings: ProcessSettings) -> int:
-    """Run one program until a signal ends it; return the exit code."""
+    """Run a program until SIGTERM or SIGINT, then stop the program; return the exit code."""
     watch = SettingsWatch(settings_path(), settings, program.change_settings)
     signals = ProcessSignals.install(watch)
     failure = await program.start()
@@ -51,7 +51,7 @@
 
 
 def run_process(run: Callable[[ProcessSettings], Coroutine[Any, Any, int]]) -> int:
-    """Read the settings and run the program to its end; return the exit code."""
+    """Read the settings, set up the log and run `run` to its end; return the exit code."""
     settings = load_settings(settings_path())
     if isinstance(settings, Failure):
         print(settings, file=sys.stderr)
--- a/canvasbeam/runtime/process_incarnation.py
+++ b/canvasbeam/runtime/process_incarnation.py
@@ -1,9 +1,9 @@
-"""Answers that count: those to a call of this incarnation of the process.
+"""Incarnations of a process: messages meant for an earlier run of the process at the same address are dropped.
 
-A process that starts anew has the address of the one before it and, on the same disk, the same member id, and it may
-number its calls as that one did. So calls between nodes carry the caller's *incarnation*, a number drawn at the start
-of its process, and an answer carries it back. Within one incarnation, a call is known by its number or its epoch. On
-the wire an incarnation is called `life`; the codecs translate.
+A restarted process has the same address as its previous run and, on the same disk, the same member id, and may reuse
+the call numbers of the previous run. Calls between nodes therefore carry the caller's *incarnation*, a random number
+drawn at process start, and each response returns the caller's incarnation. Within one incarnation, the number or the
+epoch of a call identifies the call. On the wire, an incarnation is called `life`; the codecs translate the name.
 """
 
 from __future__ import annotations
@@ -12,24 +12,27 @@
 from dataclasses import dataclass
 
 INCARNATION_BITS = 63
-# Stands where an incarnation isn't known: a peer that doesn't tell its own, or hasn't yet.
+# Incarnation of a peer that does not send its incarnation or has not sent its incarnation yet.
 UNKNOWN_INCARNATION = 0
 
 
 def draw_incarnation(generator: random.Random) -> int:
-    """Draw the incarnation of a process that starts now: odd, so that it is never `UNKNOWN_INCARNATION`."""
+    """Draw the incarnation of a starting process; the number is odd, so that it never equals `UNKNOWN_INCARNATION`."""
     return generator.getrandbits(INCARNATION_BITS) | 1
 
 
 @dataclass(slots=True)
 class IncarnationCheck:
-    """Drops what is meant for another incarnation of this process, and counts it."""
+    """Identifies messages meant for another incarnation of this process, and counts these messages as dropped."""
 
     incarnation: int
     dropped: int = 0
 
     def accepts(self, addressed_incarnation: int) -> bool:
-        """Whether what is addressed to this incarnation, or to any, is for this process."""
+        """Return True if the message is for this incarnation or for `UNKNOWN_INCARNATION`, which stands for any.
+
+        Count the message as dropped otherwise.
+        """
         if addressed_incarnation in (self.incarnation, UNKNOWN_INCARNATION):
             return True
         self.dropped += 1
--- a/canvasbeam/runtime/settings.py
+++ b/canvasbeam/runtime/settings.py
@@ -1,7 +1,8 @@
-"""The settings file of a process: read with `tomllib`, checked whole, and given as typed values.
+"""Settings file of a process: reads the file with `tomllib`, validates the file and returns typed values.
 
-The names of fields and sections are those of the file's keys, and stay. A key that is not known is ignored, as the
-deployment's pages ask. A key that is missing or breaks a rule is a `Failure` that names the file, the key and the rule.
+Fields and sections have the names of the keys in the file, so these names must not change. Unknown keys are ignored, as
+the deployment documentation requires. A missing or invalid key results in a `Failure` that names the file, the key and
+the violated rule.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read `host:port`; raises `ValueError` for anything else."""
+        """Parse `host:port` with a port from 1 to 65535; raise `ValueError` for any other text."""
         host, separator, port = text.rpartition(":")
         if not separator or not host or not port.isdigit() or not 0 < int(port) < 65536:
             raise ValueError(f"{text!r} is not an address of the form host:port")
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineLimits:
-    """What the machine gives this process."""
+    """Resources of the machine that are available to this process."""
 
     cpu_share: float = 1.0
     cpus: int = 1
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ToleratedLosses:
-    """What may be lost at once while every rule holds."""
+    """Numbers of machines, zones and regions that may fail at once without breaking a rule of the deployment."""
 
     machines: int = 1
     zones: int = 1
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The figures behind the deployment's rules, in the units of their names."""
+    """Numeric limits of the deployment's rules; a suffix `_ms` or `_s` of a field names its unit."""
 
     seed_lag_s: float = 3
     reuse_s: float = 2
@@ -91,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessSettings:
-    """All that a process is told at its start."""
+    """Settings of a process, as read from the settings file."""
 
     node: str
     role: str
@@ -116,17 +117,17 @@
 
     @property
     def control_peer_port(self) -> int:
-        """The port on which every control process takes messages of other nodes, over TCP and UDP."""
+        """TCP and UDP port on which every control-plane process receives messages from other nodes."""
         return self.port_range[0]
 
     @property
     def data_peer_port(self) -> int:
-        """The port on which every data-plane process takes messages of other nodes, over TCP and UDP."""
+        """TCP and UDP port on which every data-plane process receives messages from other nodes."""
         return self.port_range[0] + 1
 
     @property
     def seed_peers(self) -> tuple[Address, ...]:
-        """The peer addresses of the seeds, whose control addresses the settings name."""
+        """Addresses of the seeds for messages between nodes; `seeds` itself contains the control addresses."""
         return tuple(Address(seed.host, self.control_peer_port) for seed in self.seeds)
 
 
@@ -134,16 +135,16 @@
 
 
 class InvalidKeyError(Exception):
-    """A key of the settings breaks a rule; the text names both."""
+    """A key of the settings is missing or invalid; the message names the key and the violated rule."""
 
 
 def settings_path() -> Path:
-    """Return where the settings file is."""
+    """Return the path of the settings file: the value of `SETTINGS_VARIABLE`, or `DEFAULT_PATH`."""
     return Path(os.environ.get(SETTINGS_VARIABLE, DEFAULT_PATH))
 
 
 def load_settings(path: Path) -> ProcessSettings | Failure:
-    """Read and check a settings file; the failure names the file, the key and the rule."""
+    """Read and validate a settings file; return a `Failure` with the file, the key and the rule on error."""
     try:
         document = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -155,7 +156,7 @@
 
 
 def parse_settings(document: Mapping[str, Any]) -> ProcessSettings:
-    """Check a parsed document; raises `InvalidKeyError` where a rule is broken."""
+    """Validate a parsed settings document; raise `InvalidKeyError` if a key is missing or invalid."""
     return ProcessSettings(
         node=_text(document, "node"),
         role=_text(document, "role"),
@@ -221,7 +222,7 @@
         raise InvalidKeyError("port_range: must be two port numbers")
     first, last = value
     if not 0 < first < last < 65536:
-        raise InvalidKeyError("port_range: must hold two ports or more, the first below the last")
+        raise InvalidKeyError("port_range: must span at least two ports, the first below the last, from 1 to 65535")
     return first, last
 
 
@@ -248,23 +249,23 @@
 def _zones(document: Mapping[str, Any]) -> dict[str, str]:
     value = document.get("zones", {})
     if not isinstance(value, dict) or not all(isinstance(region, str) for region in value.values()):
-        raise InvalidKeyError("zones: must name the region of each zone")
+        raise InvalidKeyError("zones: must be a table with the region of each zone")
     return dict(value)
 
 
 def _listen(document: Mapping[str, Any]) -> dict[str, Address]:
     value = document.get("listen", {})
     if not isinstance(value, dict):
-        raise InvalidKeyError("listen: must be a table of addresses")
+        raise InvalidKeyError("listen: must be a table of addresses of the form host:port")
     return {key: _address(f"listen.{key}", text) for key, text in value.items() if text}
 
 
 def _section(document: Mapping[str, Any], key: str, default: _Section) -> _Section:
-    """Read a table of numbers: those that are known are taken, and those that lack keep their defaults."""
+    """Read a table of numbers: unknown keys are ignored, and missing keys keep the values of `default`."""
     table = document.get(key, {})
     if not isinstance(table, dict):
         raise InvalidKeyError(f"{key}: must be a table")
-    known: dict[str, Any] = {}  # numbers, of which some fields take integers
+    known: dict[str, Any] = {}  # Any, because some fields are of type int and others of type float
     for field_ in fields(default):
         value = table.get(field_.name, getattr(default, field_.name))
         if isinstance(value, bool) or not isinstance(value, int | float) or value < 0:
--- a/canvasbeam/runtime/signals.py
+++ b/canvasbeam/runtime/signals.py
@@ -1,7 +1,8 @@
-"""Signals of a process, and its settings file read again when it changes.
+"""Signal handlers of a process, and reloading of the settings file when the file changes.
 
-SIGTERM and SIGINT ask the process to end, once; SIGHUP asks it to read its settings. The file may also change without
-any signal, so its state on the disk is looked at every `POLL_INTERVAL_S`.
+SIGTERM and SIGINT request termination; only the first signal has an effect. SIGHUP reloads the settings file. The
+settings file may also change without a signal, so its modification time, size and inode are polled every
+`POLL_INTERVAL_S` seconds.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class SettingsWatch:
-    """Reads the settings file again where it has changed; settings that break a rule are logged and not applied."""
+    """Reloads the settings file when the file changes; invalid settings are logged and not applied."""
 
     def __init__(self, path: Path, current: ProcessSettings, listener: SettingsListener) -> None:
         self._path = path
@@ -34,17 +35,17 @@
         self._stamp = _stamp_of(path)
 
     def poll(self) -> None:
-        """Read the file if it was replaced or written since the last call."""
+        """Reload the settings file if the file was written or replaced since the last call."""
         stamp = _stamp_of(self._path)
         if stamp != self._stamp:
             self._stamp = stamp
             self.reload()
 
     def reload(self) -> ProcessSettings | Failure:
-        """Read the file now; the listener gets settings that differ from the current ones."""
+        """Read the settings file; call the listener if the settings are valid and differ from the current settings."""
         loaded = load_settings(self._path)
         if isinstance(loaded, Failure):
-            log.error("settings rejected action=the former ones stay failure={}", loaded)
+            log.error("settings rejected action=previous settings kept failure={}", loaded)
             return loaded
         if loaded != self._current:
             self._current = loaded
@@ -54,7 +55,7 @@
 
 
 class ProcessSignals:
-    """The signals of this process, on the running event loop.
+    """Signal handlers of this process on the running event loop, and polling of the settings file.
 
     signals = ProcessSignals.install(watch)
     await signals.wait_for_termination()
@@ -68,7 +69,7 @@
 
     @classmethod
     def install(cls, watch: SettingsWatch) -> ProcessSignals:
-        """Handle the signals from now on, and poll the settings file."""
+        """Install the signal handlers on the running event loop, and start polling the settings file."""
         signals = cls(asyncio.get_running_loop(), watch)
         for number in TERMINATION_SIGNALS:
             signals._loop.add_signal_handler(number, signals.terminate, number)
@@ -78,21 +79,21 @@
 
     @property
     def is_terminating(self) -> bool:
-        """Whether the process was asked to end."""
+        """True if termination was requested."""
         return self._terminated.is_set()
 
     async def wait_for_termination(self) -> None:
-        """Return once the process was asked to end."""
+        """Wait until termination is requested."""
         await self._terminated.wait()
 
     def terminate(self, number: signal.Signals = signal.SIGTERM) -> None:
-        """Ask the process to end, as the signal does."""
+        """Request termination, as SIGTERM and SIGINT do."""
         if not self._terminated.is_set():
             log.info("signal received name={}", number.name)
         self._terminated.set()
 
     def close(self) -> None:
-        """Stop polling; the signals stay handled, so that a second one does not cut the end short."""
+        """Stop polling. The signal handlers stay installed, so that a second signal does not interrupt the shutdown."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -109,7 +110,10 @@
 
 
 def _stamp_of(path: Path) -> FileStamp | None:
-    """Return what changes with every write and every replacement of a file; None where there is none."""
+    """Return modification time, size and inode, of which a write or replacement changes at least one.
+
+    Return None if the file cannot be accessed.
+    """
     try:
         status = path.stat()
     except OSError:
--- a/canvasbeam/runtime/unused_imports.py
+++ b/canvasbeam/runtime/unused_imports.py
@@ -1,6 +1,7 @@
-"""Keep optional parts of libraries that no program here uses from being imported, for the memory that they cost.
+"""Blocks imports of optional dependencies that no program of this package uses, in order to save memory.
 
-httpcore imports trio where it is installed and does without it where it is not. That is 86 modules and 4.5 MB.
+httpcore imports trio if trio is installed, and works without trio otherwise. Importing trio loads 86 modules and takes
+4.5 MB.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 def leave_out_unused() -> None:
-    """Make the import of each unused module fail as though it were not installed; called before other imports."""
+    """Make the import of each unused module fail as if the module were not installed; call before other imports."""
     for name in UNUSED_MODULES:
         if name not in sys.modules:
             sys.modules[name] = None  # type: ignore[assignment]
--- a/canvasbeam/units.py
+++ b/canvasbeam/units.py
@@ -1,4 +1,4 @@
-"""Units of time: the system's decisions count whole nanoseconds."""
+"""Time units in nanoseconds; decision logic measures time in whole nanoseconds."""
 
 MILLISECOND = 1_000_000
 SECOND = 1_000 * MILLISECOND
--- a/canvasbeam/version.py
+++ b/canvasbeam/version.py
@@ -1,3 +1,3 @@
-"""The version of this release: the package metadata and the command line both take it from here."""
+"""Version of this release; the package metadata and the command line read the version from this module."""
 
 VERSION = "0.2.0"
--- a/tests/runtime/test_http_server.py
+++ b/tests/runtime/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server on loopback sockets: what a client sees of malformed requests, faults, slow heads and a drain."""
+"""The HTTP server on loopback sockets: responses to malformed requests, app faults, slow heads and a drain."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 async def exchange(server: HttpServer, data: bytes) -> bytes:
-    """Send bytes and read until the server closes."""
+    """Send `data`, and return all bytes until the server closes the connection."""
     reader, writer = await connect(server)
     writer.write(data)
     try:
@@ -70,6 +70,8 @@
 
 
 def test_malformed_request_is_answered_400_and_closed() -> None:
+    """Guards against a connection that stays open after a request whose end cannot be determined."""
+
     async def body() -> None:
         async with serving(answer_ok) as server:
             for garbage in (b"\x00\x01\r\n\r\n", b"GET\r\n\r\n", b"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n"):
@@ -81,6 +83,8 @@
 
 
 def test_head_over_the_limit_is_answered_431() -> None:
+    """Guards against a request head that grows without limit and so exhausts memory."""
+
     async def body() -> None:
         async with serving(answer_ok, HttpLimits(max_header_bytes=200)) as server:
             answer = await exchange(server, b"GET / HTTP/1.1\r\nHost: a\r\nX: " + b"x" * 400)
@@ -90,6 +94,8 @@
 
 
 def test_slow_head_is_closed_without_an_answer() -> None:
+    """Guards against a client that never completes a request head and so occupies a connection forever."""
+
     async def body() -> None:
         async with serving(answer_ok, HttpLimits(header_timeout_s=0.01)) as server:
             assert await exchange(server, b"GET / HT") == b""
@@ -98,6 +104,8 @@
 
 
 def test_idle_connection_is_closed() -> None:
+    """Guards against idle client connections that occupy descriptors forever."""
+
     async def body() -> None:
         async with serving(answer_ok, HttpLimits(idle_timeout_s=0.01)) as server:
             answer = await exchange(server, GET)
@@ -118,6 +126,8 @@
 
 
 def test_fault_within_a_chunked_answer_leaves_it_incomplete() -> None:
+    """Guards against a final chunk after an exception of the app: the client would accept a partial body as whole."""
+
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         await send({"type": "http.response.start", "status": 200, "headers": []})
         await send({"type": "http.response.body", "body": b"part", "more_body": True})
@@ -133,6 +143,8 @@
 
 
 def test_app_hears_of_a_client_that_has_gone() -> None:
+    """Guards against an app that continues to work on a request after the client has closed the connection."""
+
     async def body() -> None:
         began, gone = asyncio.Event(), asyncio.Event()
 
@@ -155,6 +167,8 @@
 
 
 def test_upgrade_is_not_followed() -> None:
+    """Guards against hypercorn switching to HTTP/2 or WebSocket, which this server does not support."""
+
     async def body() -> None:
         async with serving(answer_ok, HttpLimits(idle_timeout_s=0.01)) as server:
             for protocol in (b"h2c", b"websocket"):
@@ -166,6 +180,8 @@
 
 
 def test_drain_ends_calls_in_progress_and_announces_the_close() -> None:
+    """Guards against a drain that aborts requests in progress or keeps their connections open after the response."""
+
     async def body() -> None:
         began, finish = asyncio.Event(), asyncio.Event()
 
@@ -192,6 +208,8 @@
 
 
 def test_drain_tells_that_a_call_has_not_ended() -> None:
+    """Guards against a drain that reports success while a request is still in progress at the timeout."""
+
     async def body() -> None:
         began = asyncio.Event()
 
@@ -210,6 +228,8 @@
 
 
 def test_connections_over_the_limit_are_reset() -> None:
+    """Guards against clients that exhaust the descriptors of the process with connections."""
+
     async def body() -> None:
         async with serving(answer_ok, HttpLimits(max_connections=1)) as server:
             reader, writer = await connect(server)
--- a/tests/runtime/test_logs.py
+++ b/tests/runtime/test_logs.py
@@ -1,4 +1,4 @@
-"""The log: its lines, and its bound in a storm."""
+"""The log of a process: the format of lines, and the rate limit of each call site."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Clock:
-    """A clock that stands until it is moved."""
+    """A clock that changes only when a test sets `now`."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -60,7 +60,7 @@
     logger = logs.get_logger("canvasbeam.data_plane.ingress")
     logger.warning("worker {} closed", "i-1", extra={"request_id": "9c41"})
     logger.info("ready")
-    logger.debug("not written at this level")
+    logger.debug("a record below the level INFO")
     first, second = lines(stream)
     stamp, level, rest = first.split(" ", 2)
     assert stamp.endswith("Z")
@@ -72,18 +72,19 @@
 
 def test_the_epoch_can_be_set_later(stream: io.StringIO) -> None:
     logs.set_epoch(lambda: 8)
-    logs.get_logger("x").info("now")
+    logs.get_logger("x").info("a record after set_epoch")
     assert " epoch=8 " in lines(stream)[0]
 
 
 def test_a_record_is_one_line_whatever_it_quotes(stream: io.StringIO) -> None:
+    """Guards against forged or oversized log lines: a client may send control characters or very long values."""
     logger = logs.get_logger("x")
     logger.info("from a client: {}", "a\nWARNING forged\x1b[0m")
     logger.info("long {}", "y" * 10_000)
     try:
         raise ValueError("broken")
     except ValueError:
-        logger.exception("a fault")
+        logger.exception("an exception")
     told = lines(stream)
     assert len(told) == 3
     assert r"a\nWARNING forged\x1b[0m" in told[0]
@@ -92,6 +93,7 @@
 
 
 def test_a_storm_is_bounded_by_its_place_and_counted() -> None:
+    """Guards against a call site that floods the log in a loop or suppresses the records of other call sites."""
     clock, stream = Clock(), io.StringIO()
     handler = logs.LineHandler("n", stream, clock=clock, burst=3)
     logger, other = logs.get_logger("storm"), logs.get_logger("other")
@@ -112,32 +114,34 @@
 
 
 def test_a_storm_that_ended_is_told_by_the_next_record_of_any_place_and_at_the_end() -> None:
+    """Guards against a lost count of suppressed records when the call site writes no further record."""
     clock, stream = Clock(), io.StringIO()
     handler = logs.LineHandler("n", stream, clock=clock, burst=1)
     logger = logs.get_logger("storm")
     with handler.applicationbound():
         for _ in range(5):
-            logger.info("again")
+            logger.info("a repeated record")
         clock.now += logs.WINDOW_S
         logs.get_logger("other").info("later")
         assert "4 records of test_logs.py:" in lines(stream)[1]
         assert lines(stream)[2].endswith("later")
         for _ in range(3):
-            logger.info("more")  # another place
+            logger.info("a record of a second call site")
         handler.close()
     assert "2 records of test_logs.py:" in lines(stream)[-1]
 
 
 def test_what_libraries_log_through_the_standard_library_is_in_the_log(stream: io.StringIO) -> None:
     logging.getLogger("asyncio").error("task %s was lost", "t")
-    logging.getLogger("asyncio").info("not this")
+    logging.getLogger("asyncio").info("a record below the level WARNING")
     (line,) = lines(stream)
     assert line.endswith("ERROR core-1 epoch=7 asyncio: task t was lost")
 
 
 def test_a_closed_stream_does_not_end_the_program(settings: ProcessSettings) -> None:
+    """Guards against an exception from a log call after the reader of standard error has gone."""
     stream = io.StringIO()
     logs.configure(settings, stream=stream)
     stream.close()
-    logs.get_logger("x").info("unheard")
+    logs.get_logger("x").info("a record for a closed stream")
     logs.shut_down()
--- a/tests/runtime/test_process_settings.py
+++ b/tests/runtime/test_process_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: an error names the file, the key and the rule."""
+"""The settings file of a process: valid files are read, and an error names the file, the key and the violated rule."""
 
 from __future__ import annotations
 
@@ -49,6 +49,7 @@
 
 
 def test_a_good_file_is_taken_whole_and_unknown_keys_are_ignored(tmp_path: Path) -> None:
+    """Guards against a value of the settings file that is lost, and against a failure because of an unknown key."""
     settings = load(tmp_path, GOOD)
     assert isinstance(settings, ProcessSettings)
     assert (settings.node, settings.node_class, settings.region) == ("edge-quimper-hall-1", "edge", "finistere")
--- a/tests/runtime/test_signals.py
+++ b/tests/runtime/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals of a process and the settings file read again."""
+"""Signal handlers of a process, and reloading of the settings file after a signal or a change of the file."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 def write(path: Path, text: str) -> None:
-    """Replace a file, as editors do."""
+    """Replace the file by renaming a new file over it, as many editors do."""
     other = path.with_suffix(".new")
     other.write_text(text)
     other.replace(path)
 
 
 class Watched:
-    """A settings file, its watch, and what the listener heard."""
+    """A settings file, its `SettingsWatch`, and the settings that the listener received."""
 
     def __init__(self, folder: Path) -> None:
         self.path = folder / "local.toml"
@@ -62,6 +62,7 @@
 
 
 def test_a_bad_file_keeps_the_former_settings_and_a_good_one_is_taken_after_it(watched: Watched) -> None:
+    """Guards against invalid settings that reach the listener, and against a watch that stops after an invalid file."""
     write(watched.path, EXAMPLE.replace('zone = "z1"', ""))
     outcome = watched.watch.reload()
     assert isinstance(outcome, Failure)
@@ -91,6 +92,7 @@
 
 
 def test_the_file_is_polled_without_a_signal(watched: Watched, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a change of the settings file that is ignored because no SIGHUP was sent."""
     monkeypatch.setattr("canvasbeam.runtime.signals.POLL_INTERVAL_S", 0.001)
 
     async def scene() -> None:
