--- a/canvasbeam/__init__.py
+++ b/canvasbeam/__init__.py
@@ -14,6 +14,6 @@
 def __getattr__(name: str) -> Any:
     if name not in __all__:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    from canvasbeam.dispatch import dispatcher as choice  # noqa: PLC0415
+    from canvasbeam.dispatch import dispatcher  # noqa: PLC0415
 
-    return getattr(choice, name)
+    return getattr(dispatcher, name)
--- a/canvasbeam/runtime/http_connection.py
+++ b/canvasbeam/runtime/http_connection.py
@@ -66,7 +66,7 @@
     """The client closed its connection while a pipelined request waited for the response to the previous request."""
 
 
-class _Turn:
+class _CanReadEvent:
     """Replacement for hypercorn's `can_read` event, which delays a pipelined request until the previous response ends.
 
     Hypercorn does not read from the connection while waiting for the event, and so would not notice that the client
@@ -75,29 +75,29 @@
 
     def __init__(self, read_until_disconnected: Callable[[], Awaitable[bool]]) -> None:
         self._read_until_disconnected = read_until_disconnected
-        self._has_come = asyncio.Event()
+        self._event = asyncio.Event()
 
     async def set(self) -> None:
         """Allow the next request on the connection: the previous response is complete."""
-        self._has_come.set()
+        self._event.set()
 
     async def clear(self) -> None:
         """Delay the next request on the connection: the previous response is not complete."""
-        self._has_come.clear()
+        self._event.clear()
 
     async def wait(self) -> None:
         """Wait for the previous response to end; raise `_ClientDisconnectedError` if the client disconnects first."""
-        came = asyncio.ensure_future(self._has_come.wait())
-        reading = asyncio.ensure_future(self._read_until_disconnected())
+        event_task = asyncio.ensure_future(self._event.wait())
+        read_task = asyncio.ensure_future(self._read_until_disconnected())
         try:
-            await asyncio.wait((came, reading), return_when=asyncio.FIRST_COMPLETED)
-            if not came.done() and reading.result():
+            await asyncio.wait((event_task, read_task), return_when=asyncio.FIRST_COMPLETED)
+            if not event_task.done() and read_task.result():
                 raise _ClientDisconnectedError
-            await came
+            await event_task
         finally:
-            came.cancel()
-            reading.cancel()
-            await asyncio.wait((came, reading))  # a StreamReader allows only one pending read
+            event_task.cancel()
+            read_task.cancel()
+            await asyncio.wait((event_task, read_task))  # a StreamReader allows only one pending read
 
 
 @dataclass(slots=True)
@@ -153,7 +153,7 @@
                     local,
                     self.protocol_send,
                 )
-                self.protocol.can_read = _Turn(self._read_ahead)  # type: ignore[attr-defined]
+                self.protocol.can_read = _CanReadEvent(self._read_ahead)  # type: ignore[attr-defined]
                 self._become_idle()
                 await self._read_data()
         except OSError:
@@ -162,7 +162,7 @@
             self._stop_timer()
             await self._close()
 
-    def close_in_order(self) -> None:
+    def close_gracefully(self) -> None:
         """Send the buffered output, then close the connection."""
         self._flush()
         self.writer.close()
@@ -239,11 +239,11 @@
 
     async def _close(self) -> None:
         self._flush()
-        if self._is_unmarked_end():
+        if self._has_unterminated_http10_response():
             self._reset()
         await super()._close()
 
-    def _is_unmarked_end(self) -> bool:
+    def _has_unterminated_http10_response(self) -> bool:
         """Return True if closing now would truncate a response whose end is marked only by the end of the connection.
 
         Only HTTP/1.0 clients get such responses, because HTTP/1.0 has no chunked encoding.
@@ -268,7 +268,7 @@
         self._activity = activity
         self._stop_timer()
         if timeout_s is not None:
-            self._timer = self.loop.call_later(timeout_s, self.close_in_order)
+            self._timer = self.loop.call_later(timeout_s, self.close_gracefully)
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
@@ -293,7 +293,7 @@
     return h11.Request(method=request.method, target=request.target, headers=headers, http_version=request.http_version)
 
 
-class _HypercornLog:
+class _HypercornLogger:
     """Logger for hypercorn that writes exceptions and omits access logs; hypercorn passes arguments of any type."""
 
     def __init__(self, config: Config) -> None:
@@ -310,7 +310,7 @@
 def hypercorn_config() -> Config:
     """Return a hypercorn configuration with the settings common to all servers."""
     config = Config()
-    config.logger_class = _HypercornLog  # type: ignore[assignment]
+    config.logger_class = _HypercornLogger  # type: ignore[assignment]
     config.include_server_header = False
     config.include_date_header = False
     config.keep_alive_max_requests = NO_REQUEST_LIMIT
--- a/canvasbeam/runtime/http_server.py
+++ b/canvasbeam/runtime/http_server.py
@@ -33,7 +33,7 @@
 
 __all__ = ["IDLE_SINCE", "App", "HttpLimits", "HttpServer", "Message", "Receive", "Scope", "Send"]
 
-CLOSE_AFTER_EACH_ANSWER = 0  # value of `keep_alive_max_requests` with which every response carries `Connection: close`
+CLOSE_AFTER_EACH_RESPONSE = 0  # a `keep_alive_max_requests` with which every response carries `Connection: close`
 
 # Types of the ASGI specification; the mappings have values of several types.
 Scope = MutableMapping[str, Any]
@@ -119,13 +119,13 @@
 
     def announce_close(self) -> None:
         """Add `Connection: close` to each further response and close its connection; idle connections stay open."""
-        self._settings.config.keep_alive_max_requests = CLOSE_AFTER_EACH_ANSWER
+        self._settings.config.keep_alive_max_requests = CLOSE_AFTER_EACH_RESPONSE
 
     def close_idle(self) -> None:
         """Close the idle connections: those without a byte of a request since the last response."""
         for connection in tuple(self._connections):
             if connection.is_idle:
-                connection.close_in_order()
+                connection.close_gracefully()
 
     async def drain(self, timeout_s: float) -> bool:
         """Stop accepting, close idle connections and wait up to `timeout_s` for the requests in progress.
--- a/canvasbeam/runtime/logs.py
+++ b/canvasbeam/runtime/logs.py
@@ -68,13 +68,13 @@
         window.written += 1
         return True
 
-    def take_suppressed(self, site: CallSite) -> int:
+    def pop_suppressed(self, site: CallSite) -> int:
         """Return the number of suppressed records of a call site, and reset the number to 0."""
         window = self._sites[site]
         suppressed, window.suppressed = window.suppressed, 0
         return suppressed
 
-    def finished_storms(self, *, all_windows: bool = False) -> list[tuple[CallSite, int]]:
+    def pop_finished_windows(self, *, all_windows: bool = False) -> list[tuple[CallSite, int]]:
         """Return the call sites with suppressed records in a finished window, and reset the numbers of these records.
 
         Each item is a call site and its number of suppressed records. With `all_windows`, include unfinished windows;
@@ -84,12 +84,12 @@
         if now < self._next_sweep_at and not all_windows:
             return []
         self._next_sweep_at = now + self._window_s
-        ended = [
+        finished = [
             site
             for site, window in self._sites.items()
             if window.suppressed and (all_windows or now - window.started_at >= self._window_s)
         ]
-        return [(site, self.take_suppressed(site)) for site in ended]
+        return [(site, self.pop_suppressed(site)) for site in finished]
 
 
 class LineHandler(logbook.Handler):  # type: ignore[misc]  # logbook has no type hints
@@ -111,7 +111,7 @@
         if not self._limit.admit(site):
             return
         self.report_suppressed()
-        suppressed = self._limit.take_suppressed(site)
+        suppressed = self._limit.pop_suppressed(site)
         message = _one_line(_message_of(record))
         request_id = record.extra.get("request_id")
         if request_id:
@@ -122,7 +122,7 @@
 
     def report_suppressed(self, *, all_windows: bool = False) -> None:
         """Log the number of suppressed records of each call site that wrote nothing after the end of its window."""
-        for (code, line), count in self._limit.finished_storms(all_windows=all_windows):
+        for (code, line), count in self._limit.pop_finished_windows(all_windows=all_windows):
             file = "unknown" if code is None else code.co_filename.rpartition("/")[2]
             self._write("WARNING", __name__, SUPPRESSED_MESSAGE.format(count, file, line))
 
--- a/canvasbeam/runtime/planned_shutdown.py
+++ b/canvasbeam/runtime/planned_shutdown.py
@@ -84,8 +84,8 @@
             return False
         self._begun = now
         self._service_times = {name: self._service_time(spans) for name, spans in self._samples.items()}
-        least = min(self._service_times.values(), default=self.times.assumed_service_time)
-        self._last_call = max(self.times.window, self.times.last_answer - least)
+        shortest = min(self._service_times.values(), default=self.times.assumed_service_time)
+        self._last_call = max(self.times.window, self.times.last_answer - shortest)
         return True
 
     def _service_time(self, spans: deque[int]) -> int:
@@ -112,10 +112,10 @@
         """Return the deadline of a request that arrives at `now`, or None if the request is rejected at once."""
         if self._begun is None:
             return requested
-        last = self._begun + self.times.last_answer
-        if self.phase(now) >= Phase.CLOSING or now + self._service_times[job_class] > last:
+        last_answer_at = self._begun + self.times.last_answer
+        if self.phase(now) >= Phase.CLOSING or now + self._service_times[job_class] > last_answer_at:
             return None
-        return min(requested, last)
+        return min(requested, last_answer_at)
 
     def phase_times(self) -> tuple[int, ...]:
         """Return the start times of the phases after ANNOUNCED, then the exit time; empty before the signal."""
--- a/canvasbeam/runtime/settings.py
+++ b/canvasbeam/runtime/settings.py
@@ -265,10 +265,10 @@
     table = document.get(key, {})
     if not isinstance(table, dict):
         raise InvalidKeyError(f"{key}: must be a table")
-    known: dict[str, Any] = {}  # Any, because some fields are of type int and others of type float
+    numbers: dict[str, Any] = {}  # Any, because some fields are of type int and others of type float
     for field_ in fields(default):
         value = table.get(field_.name, getattr(default, field_.name))
         if isinstance(value, bool) or not isinstance(value, int | float) or value < 0:
             raise InvalidKeyError(f"{key}.{field_.name}: must be a number that is not negative")
-        known[field_.name] = value
-    return type(default)(**known)
+        numbers[field_.name] = value
+    return type(default)(**numbers)
--- a/tests/runtime/test_http_server.py
+++ b/tests/runtime/test_http_server.py
@@ -74,15 +74,15 @@
 
     async def body() -> None:
         async with serving(answer_ok) as server:
-            for garbage in (b"\x00\x01\r\n\r\n", b"GET\r\n\r\n", b"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n"):
-                answer = await exchange(server, garbage)
-                assert answer.startswith(b"HTTP/1.1 400"), garbage
+            for malformed in (b"\x00\x01\r\n\r\n", b"GET\r\n\r\n", b"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n"):
+                answer = await exchange(server, malformed)
+                assert answer.startswith(b"HTTP/1.1 400"), malformed
                 assert b"connection: close" in answer.lower()
 
     run(body)
 
 
-def test_head_over_the_limit_is_answered_431() -> None:
+def test_request_head_over_the_limit_is_answered_431() -> None:
     """Guards against a request head that grows without limit and so exhausts memory."""
 
     async def body() -> None:
@@ -93,7 +93,7 @@
     run(body)
 
 
-def test_slow_head_is_closed_without_an_answer() -> None:
+def test_slow_head_closes_the_connection_without_a_response() -> None:
     """Guards against a client that never completes a request head and so occupies a connection forever."""
 
     async def body() -> None:
@@ -103,7 +103,7 @@
     run(body)
 
 
-def test_idle_connection_is_closed() -> None:
+def test_idle_connection_is_closed_after_the_idle_timeout() -> None:
     """Guards against idle client connections that occupy descriptors forever."""
 
     async def body() -> None:
@@ -114,7 +114,7 @@
     run(body)
 
 
-def test_fault_before_the_answer_is_500() -> None:
+def test_exception_before_the_response_is_answered_500() -> None:
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         raise RuntimeError("a fault of the app")
 
@@ -125,7 +125,7 @@
     run(body)
 
 
-def test_fault_within_a_chunked_answer_leaves_it_incomplete() -> None:
+def test_exception_within_a_chunked_response_leaves_the_response_incomplete() -> None:
     """Guards against a final chunk after an exception of the app: the client would accept a partial body as whole."""
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
@@ -142,31 +142,31 @@
     run(body)
 
 
-def test_app_hears_of_a_client_that_has_gone() -> None:
+def test_app_receives_disconnect_when_the_client_closes() -> None:
     """Guards against an app that continues to work on a request after the client has closed the connection."""
 
     async def body() -> None:
-        began, gone = asyncio.Event(), asyncio.Event()
+        started, disconnected = asyncio.Event(), asyncio.Event()
 
         async def app(scope: Scope, receive: Receive, send: Send) -> None:
             await receive()
-            began.set()
+            started.set()
             message = await receive()
             if message["type"] == "http.disconnect":
-                gone.set()
+                disconnected.set()
 
         async with serving(app) as server:
             _, writer = await connect(server)
             writer.write(GET)
-            await began.wait()
+            await started.wait()
             writer.close()
             async with asyncio.timeout(5):
-                await gone.wait()
+                await disconnected.wait()
 
     run(body)
 
 
-def test_upgrade_is_not_followed() -> None:
+def test_upgrade_to_another_protocol_is_ignored() -> None:
     """Guards against hypercorn switching to HTTP/2 or WebSocket, which this server does not support."""
 
     async def body() -> None:
@@ -179,14 +179,14 @@
     run(body)
 
 
-def test_drain_ends_calls_in_progress_and_announces_the_close() -> None:
+def test_drain_waits_for_requests_in_progress_and_announces_the_close() -> None:
     """Guards against a drain that aborts requests in progress or keeps their connections open after the response."""
 
     async def body() -> None:
-        began, finish = asyncio.Event(), asyncio.Event()
+        started, finish = asyncio.Event(), asyncio.Event()
 
         async def app(scope: Scope, receive: Receive, send: Send) -> None:
-            began.set()
+            started.set()
             await finish.wait()
             await answer_ok(scope, receive, send)
 
@@ -194,7 +194,7 @@
             idle_reader, _ = await connect(server)
             reader, writer = await connect(server)
             writer.write(GET)
-            await began.wait()
+            await started.wait()
             drained = asyncio.create_task(server.drain(5))
             assert await idle_reader.read() == b""
             assert server.busy_count == 1
@@ -207,21 +207,21 @@
     run(body)
 
 
-def test_drain_tells_that_a_call_has_not_ended() -> None:
+def test_drain_returns_false_if_a_request_outlasts_the_timeout() -> None:
     """Guards against a drain that reports success while a request is still in progress at the timeout."""
 
     async def body() -> None:
-        began = asyncio.Event()
+        started = asyncio.Event()
 
         async def app(scope: Scope, receive: Receive, send: Send) -> None:
-            began.set()
+            started.set()
             while (await receive())["type"] != "http.disconnect":
                 pass
 
         async with serving(app) as server:
             _, writer = await connect(server)
             writer.write(GET)
-            await began.wait()
+            await started.wait()
             assert not await server.drain(0.01)
 
     run(body)
--- a/tests/runtime/test_logs.py
+++ b/tests/runtime/test_logs.py
@@ -12,7 +12,7 @@
 from canvasbeam.runtime import logs
 from canvasbeam.runtime.settings import ProcessSettings, load_settings
 
-EXAMPLE = """
+EXAMPLE_SETTINGS = """
 node = "core-1"
 role = "control-plane"
 class = "core"
@@ -38,7 +38,7 @@
 @pytest.fixture
 def settings(tmp_path: Path) -> ProcessSettings:
     path = tmp_path / "local.toml"
-    path.write_text(EXAMPLE)
+    path.write_text(EXAMPLE_SETTINGS)
     loaded = load_settings(path)
     assert isinstance(loaded, ProcessSettings)
     return loaded
@@ -56,7 +56,7 @@
     return stream.getvalue().splitlines()
 
 
-def test_a_line_names_time_level_node_epoch_channel_and_request(stream: io.StringIO) -> None:
+def test_line_contains_time_level_node_epoch_channel_and_request_id(stream: io.StringIO) -> None:
     logger = logs.get_logger("canvasbeam.data_plane.ingress")
     logger.warning("worker {} closed", "i-1", extra={"request_id": "9c41"})
     logger.info("ready")
@@ -70,13 +70,13 @@
     assert second.endswith("INFO core-1 epoch=7 data_plane.ingress: ready")
 
 
-def test_the_epoch_can_be_set_later(stream: io.StringIO) -> None:
+def test_set_epoch_changes_the_epoch_of_further_records(stream: io.StringIO) -> None:
     logs.set_epoch(lambda: 8)
     logs.get_logger("x").info("a record after set_epoch")
     assert " epoch=8 " in lines(stream)[0]
 
 
-def test_a_record_is_one_line_whatever_it_quotes(stream: io.StringIO) -> None:
+def test_record_with_control_characters_or_long_text_is_one_short_line(stream: io.StringIO) -> None:
     """Guards against forged or oversized log lines: a client may send control characters or very long values."""
     logger = logs.get_logger("x")
     logger.info("from a client: {}", "a\nWARNING forged\x1b[0m")
@@ -85,35 +85,35 @@
         raise ValueError("broken")
     except ValueError:
         logger.exception("an exception")
-    told = lines(stream)
-    assert len(told) == 3
-    assert r"a\nWARNING forged\x1b[0m" in told[0]
-    assert len(told[1]) < logs.MAX_MESSAGE_CHARACTERS + 100
-    assert "ValueError: broken" in told[2]
+    written = lines(stream)
+    assert len(written) == 3
+    assert r"a\nWARNING forged\x1b[0m" in written[0]
+    assert len(written[1]) < logs.MAX_MESSAGE_CHARACTERS + 100
+    assert "ValueError: broken" in written[2]
 
 
-def test_a_storm_is_bounded_by_its_place_and_counted() -> None:
+def test_records_over_the_rate_limit_of_a_call_site_are_suppressed_and_counted() -> None:
     """Guards against a call site that floods the log in a loop or suppresses the records of other call sites."""
     clock, stream = Clock(), io.StringIO()
     handler = logs.LineHandler("n", stream, clock=clock, burst=3)
     logger, other = logs.get_logger("storm"), logs.get_logger("other")
 
-    def storm(count: int) -> None:
+    def write_records(count: int) -> None:
         for number in range(count):
             logger.warning("refused {}", number)
 
     with handler.applicationbound():
-        storm(10)
+        write_records(10)
         other.info("another place is not held up")
         assert [line.partition(": ")[2] for line in lines(stream)] == [
             "refused 0", "refused 1", "refused 2", "another place is not held up",
         ]  # fmt: skip
         clock.now += logs.WINDOW_S
-        storm(1)
+        write_records(1)
         assert lines(stream)[-1].endswith("refused 0 suppressed=7")
 
 
-def test_a_storm_that_ended_is_told_by_the_next_record_of_any_place_and_at_the_end() -> None:
+def test_suppressed_count_of_a_silent_call_site_is_logged_with_the_next_record_and_at_close() -> None:
     """Guards against a lost count of suppressed records when the call site writes no further record."""
     clock, stream = Clock(), io.StringIO()
     handler = logs.LineHandler("n", stream, clock=clock, burst=1)
@@ -131,14 +131,14 @@
     assert "2 records of test_logs.py:" in lines(stream)[-1]
 
 
-def test_what_libraries_log_through_the_standard_library_is_in_the_log(stream: io.StringIO) -> None:
+def test_records_of_standard_library_logging_are_forwarded(stream: io.StringIO) -> None:
     logging.getLogger("asyncio").error("task %s was lost", "t")
     logging.getLogger("asyncio").info("a record below the level WARNING")
     (line,) = lines(stream)
     assert line.endswith("ERROR core-1 epoch=7 asyncio: task t was lost")
 
 
-def test_a_closed_stream_does_not_end_the_program(settings: ProcessSettings) -> None:
+def test_log_call_with_a_closed_stream_does_not_raise(settings: ProcessSettings) -> None:
     """Guards against an exception from a log call after the reader of standard error has gone."""
     stream = io.StringIO()
     logs.configure(settings, stream=stream)
--- a/tests/runtime/test_process_settings.py
+++ b/tests/runtime/test_process_settings.py
@@ -10,7 +10,7 @@
 from canvasbeam.runtime import settings as process_settings
 from canvasbeam.runtime.settings import Address, Bounds, MachineLimits, ProcessSettings, ToleratedLosses, load_settings
 
-GOOD = """
+VALID = """
 node = "edge-quimper-hall-1"
 role = "data-plane"
 class = "edge"
@@ -48,9 +48,9 @@
     return load_settings(path)
 
 
-def test_a_good_file_is_taken_whole_and_unknown_keys_are_ignored(tmp_path: Path) -> None:
+def test_valid_file_is_read_completely_and_unknown_keys_are_ignored(tmp_path: Path) -> None:
     """Guards against a value of the settings file that is lost, and against a failure because of an unknown key."""
-    settings = load(tmp_path, GOOD)
+    settings = load(tmp_path, VALID)
     assert isinstance(settings, ProcessSettings)
     assert (settings.node, settings.node_class, settings.region) == ("edge-quimper-hall-1", "edge", "finistere")
     assert settings.listen == {"front": Address("10.1.0.35", 8144), "ready": Address("10.1.0.35", 8140)}
@@ -87,9 +87,9 @@
         ('node = "edge', 'data_dir = 5\nnode = "edge', "data_dir", "must be a path"),
     ],
 )
-def test_an_error_names_file_key_and_rule(tmp_path: Path, old: str, new: str, key: str, rule: str) -> None:
-    assert old in GOOD
-    failure = load(tmp_path, GOOD.replace(old, new, 1))
+def test_invalid_key_fails_with_file_key_and_rule(tmp_path: Path, old: str, new: str, key: str, rule: str) -> None:
+    assert old in VALID
+    failure = load(tmp_path, VALID.replace(old, new, 1))
     assert isinstance(failure, Failure)
     assert failure.code is ResultCode.SETTINGS_INVALID
     file, named_key, named_rule = failure.reason.split(": ", 2)
@@ -99,14 +99,14 @@
 
 
 @pytest.mark.parametrize("text", ["node = ", "[[", "\x00"])
-def test_what_is_not_toml_is_told_with_its_file(tmp_path: Path, text: str) -> None:
+def test_file_that_is_not_toml_fails_with_its_path(tmp_path: Path, text: str) -> None:
     failure = load(tmp_path, text)
     assert isinstance(failure, Failure)
     assert failure.code is ResultCode.SETTINGS_UNREADABLE
     assert str(tmp_path / "local.toml") in failure.reason
 
 
-def test_a_missing_file_and_one_that_is_not_utf8_are_told(tmp_path: Path) -> None:
+def test_missing_file_and_file_that_is_not_utf8_fail(tmp_path: Path) -> None:
     missing = load_settings(tmp_path / "none.toml")
     assert isinstance(missing, Failure)
     assert "none.toml" in missing.reason
@@ -117,7 +117,7 @@
     assert failure.code is ResultCode.SETTINGS_UNREADABLE
 
 
-def test_the_path_comes_from_the_environment_or_is_the_default(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_settings_path_is_read_from_the_environment_with_a_default(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv(process_settings.SETTINGS_VARIABLE, "/somewhere/else.toml")
     assert process_settings.settings_path() == Path("/somewhere/else.toml")
     monkeypatch.delenv(process_settings.SETTINGS_VARIABLE)
--- a/tests/runtime/test_signals.py
+++ b/tests/runtime/test_signals.py
@@ -12,7 +12,7 @@
 from canvasbeam.errors import Failure, ResultCode
 from canvasbeam.runtime.settings import Address, ProcessSettings, load_settings
 from canvasbeam.runtime.signals import ProcessSignals, SettingsWatch
-from tests.runtime.test_logs import EXAMPLE
+from tests.runtime.test_logs import EXAMPLE_SETTINGS
 
 DEADLINE_S = 10.0
 
@@ -24,61 +24,61 @@
     other.replace(path)
 
 
-class Watched:
+class WatchedSettings:
     """A settings file, its `SettingsWatch`, and the settings that the listener received."""
 
     def __init__(self, folder: Path) -> None:
         self.path = folder / "local.toml"
-        self.path.write_text(EXAMPLE)
+        self.path.write_text(EXAMPLE_SETTINGS)
         loaded = load_settings(self.path)
         assert isinstance(loaded, ProcessSettings)
-        self.heard: list[ProcessSettings] = []
+        self.received: list[ProcessSettings] = []
         self.changed = asyncio.Event()
-        self.watch = SettingsWatch(self.path, loaded, self._listen)
+        self.watch = SettingsWatch(self.path, loaded, self._on_change)
 
-    def _listen(self, settings: ProcessSettings) -> None:
-        self.heard.append(settings)
+    def _on_change(self, settings: ProcessSettings) -> None:
+        self.received.append(settings)
         self.changed.set()
 
 
 @pytest.fixture
-def watched(tmp_path: Path) -> Watched:
-    return Watched(tmp_path)
+def watched(tmp_path: Path) -> WatchedSettings:
+    return WatchedSettings(tmp_path)
 
 
-def test_a_changed_file_is_heard_once(watched: Watched) -> None:
+def test_changed_file_is_passed_to_the_listener_once(watched: WatchedSettings) -> None:
     watched.watch.poll()
-    assert not watched.heard
-    write(watched.path, EXAMPLE.replace("127.0.0.1:8146", "127.0.0.9:8146"))
+    assert not watched.received
+    write(watched.path, EXAMPLE_SETTINGS.replace("127.0.0.1:8146", "127.0.0.9:8146"))
     watched.watch.poll()
     watched.watch.poll()
-    assert [peer.seeds for peer in watched.heard] == [(Address("127.0.0.9", 8146),)]
+    assert [settings.seeds for settings in watched.received] == [(Address("127.0.0.9", 8146),)]
 
 
-def test_a_file_written_again_with_the_same_settings_is_not_heard(watched: Watched) -> None:
-    write(watched.path, EXAMPLE + "# a remark\n")
+def test_file_rewritten_with_equal_settings_is_not_passed_to_the_listener(watched: WatchedSettings) -> None:
+    write(watched.path, EXAMPLE_SETTINGS + "# a remark\n")
     watched.watch.poll()
-    assert not watched.heard
+    assert not watched.received
 
 
-def test_a_bad_file_keeps_the_former_settings_and_a_good_one_is_taken_after_it(watched: Watched) -> None:
+def test_invalid_file_keeps_the_settings_and_a_later_valid_file_is_applied(watched: WatchedSettings) -> None:
     """Guards against invalid settings that reach the listener, and against a watch that stops after an invalid file."""
-    write(watched.path, EXAMPLE.replace('zone = "z1"', ""))
+    write(watched.path, EXAMPLE_SETTINGS.replace('zone = "z1"', ""))
     outcome = watched.watch.reload()
     assert isinstance(outcome, Failure)
     assert outcome.code is ResultCode.SETTINGS_INVALID
     watched.path.unlink()
     watched.watch.poll()
-    assert not watched.heard
-    write(watched.path, EXAMPLE.replace("z1", "z2"))
+    assert not watched.received
+    write(watched.path, EXAMPLE_SETTINGS.replace("z1", "z2"))
     watched.watch.poll()
-    assert [peer.zone for peer in watched.heard] == ["z2"]
+    assert [settings.zone for settings in watched.received] == ["z2"]
 
 
-def test_hangup_reads_the_settings_and_sigterm_ends_the_wait_once(watched: Watched) -> None:
-    async def scene() -> None:
+def test_sighup_reloads_the_settings_and_sigterm_ends_the_wait(watched: WatchedSettings) -> None:
+    async def run_signals() -> None:
         signals = ProcessSignals.install(watched.watch)
-        write(watched.path, EXAMPLE.replace("z1", "z3"))
+        write(watched.path, EXAMPLE_SETTINGS.replace("z1", "z3"))
         os.kill(os.getpid(), signal.SIGHUP)
         await watched.changed.wait()
         assert not signals.is_terminating
@@ -87,19 +87,19 @@
         assert signals.is_terminating
         signals.close()
 
-    asyncio.run(asyncio.wait_for(scene(), DEADLINE_S))
-    assert [peer.zone for peer in watched.heard] == ["z3"]
+    asyncio.run(asyncio.wait_for(run_signals(), DEADLINE_S))
+    assert [settings.zone for settings in watched.received] == ["z3"]
 
 
-def test_the_file_is_polled_without_a_signal(watched: Watched, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_changed_file_is_reloaded_without_a_signal(watched: WatchedSettings, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a change of the settings file that is ignored because no SIGHUP was sent."""
     monkeypatch.setattr("canvasbeam.runtime.signals.POLL_INTERVAL_S", 0.001)
 
-    async def scene() -> None:
+    async def run_signals() -> None:
         signals = ProcessSignals.install(watched.watch)
-        write(watched.path, EXAMPLE.replace("z1", "z4"))
+        write(watched.path, EXAMPLE_SETTINGS.replace("z1", "z4"))
         await watched.changed.wait()
         signals.close()
 
-    asyncio.run(asyncio.wait_for(scene(), DEADLINE_S))
-    assert [peer.zone for peer in watched.heard] == ["z4"]
+    asyncio.run(asyncio.wait_for(run_signals(), DEADLINE_S))
+    assert [settings.zone for settings in watched.received] == ["z4"]
