--- a/canvasbeam/runtime/http_connection.py
+++ b/canvasbeam/runtime/http_connection.py
@@ -45,7 +45,7 @@
 
 
 class Activity(Enum):
-    """State of a connection between requests and during a request."""
+    """Activity of a client connection: idle, reading the head of a request, or busy with a request."""
 
     IDLE = "idle"
     READING_HEAD = "reading head"
@@ -97,7 +97,7 @@
         finally:
             event_task.cancel()
             read_task.cancel()
-            await asyncio.wait((event_task, read_task))  # a StreamReader allows only one pending read
+            await asyncio.wait((event_task, read_task))  # end the read: a StreamReader allows only one
 
 
 @dataclass(slots=True)
@@ -172,7 +172,7 @@
         self.writer.transport.abort()
 
     async def protocol_send(self, event: Event) -> None:
-        """Handle an event of the protocol: bytes to send, a close, or a change between idle and busy."""
+        """Handle an event of the HTTP protocol object: bytes to send, a close, or a change between idle and busy."""
         if isinstance(event, RawData):
             await self._send_bytes(event.data)
         elif isinstance(event, Closed):
--- a/canvasbeam/runtime/logs.py
+++ b/canvasbeam/runtime/logs.py
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class _SiteWindow:
-    """Counts of records that a call site wrote and that were suppressed in the window since `started_at`."""
+    """Numbers of records of a call site: written since `started_at`, and suppressed but not yet reported."""
 
     started_at: float
     written: int = 0
--- a/canvasbeam/runtime/planned_shutdown.py
+++ b/canvasbeam/runtime/planned_shutdown.py
@@ -44,7 +44,7 @@
 class ShutdownTimes:
     """Parameters of a planned shutdown; times in nanoseconds, all but `assumed_service_time` relative to the signal."""
 
-    window: int  # end of accepting new connections; later than 0 because load balancers notice a shutdown late
+    window: int  # end of accepting new connections: load balancers notice a shutdown with a delay
     last_answer: int  # time by which every request must be answered
     leave: int  # time by which the process must exit, before the platform kills the process
     assumed_service_time: int  # service time of a class before its first response
@@ -98,7 +98,7 @@
         return 0 if self._begun is None else now - self._begun
 
     def phase(self, now: int) -> Phase:
-        """Return the phase at time `now`."""
+        """Return the phase of the shutdown at time `now`."""
         if self._begun is None:
             return Phase.SERVING
         elapsed = now - self._begun
@@ -118,7 +118,7 @@
         return min(requested, last_answer_at)
 
     def phase_times(self) -> tuple[int, ...]:
-        """Return the start times of the phases after ANNOUNCED, then the exit time; empty before the signal."""
+        """Return the start time of each phase after ANNOUNCED, then the exit time; empty before the signal."""
         if self._begun is None:
             return ()
         spans = (self.times.window, self._last_call, self.times.last_answer, self.times.leave)
--- a/canvasbeam/runtime/process.py
+++ b/canvasbeam/runtime/process.py
@@ -18,7 +18,7 @@
 EXIT_OK = 0
 EXIT_SETTINGS = 2
 EXIT_START = 3
-LEAVE_FLUSH_S = 0.05  # seconds between the message that a process leaves the cluster and the close of its connections
+LEAVE_FLUSH_S = 0.05  # seconds between sending the leave message to the cluster and closing the connections
 
 log = logs.get_logger(__name__)
 
--- a/canvasbeam/runtime/settings.py
+++ b/canvasbeam/runtime/settings.py
@@ -265,7 +265,7 @@
     table = document.get(key, {})
     if not isinstance(table, dict):
         raise InvalidKeyError(f"{key}: must be a table")
-    numbers: dict[str, Any] = {}  # Any, because some fields are of type int and others of type float
+    numbers: dict[str, Any] = {}  # values are int or float, depending on the field
     for field_ in fields(default):
         value = table.get(field_.name, getattr(default, field_.name))
         if isinstance(value, bool) or not isinstance(value, int | float) or value < 0:
--- a/tests/runtime/test_http_server.py
+++ b/tests/runtime/test_http_server.py
@@ -116,7 +116,7 @@
 
 def test_exception_before_the_response_is_answered_500() -> None:
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
-        raise RuntimeError("a fault of the app")
+        raise RuntimeError("exception raised by the app")
 
     async def body() -> None:
         async with serving(app) as server:
@@ -131,7 +131,7 @@
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         await send({"type": "http.response.start", "status": 200, "headers": []})
         await send({"type": "http.response.body", "body": b"part", "more_body": True})
-        raise RuntimeError("a fault of the app")
+        raise RuntimeError("exception raised by the app")
 
     async def body() -> None:
         async with serving(app) as server:
