--- a/canvasbeam/__init__.py
+++ b/canvasbeam/__init__.py
@@ -1,6 +1,6 @@
-"""canvasbeam: the decisions of a dispatcher that pushes jobs to workers in priority rings.
+"""canvasbeam: a load-balancing dispatcher that pushes jobs to workers in priority rings.
 
-The dispatcher is imported with its first use: a control process starts faster without it.
+The package imports `Dispatcher` on first use, because a control-plane process starts faster without the import.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -14,6 +14,6 @@
 def __getattr__(name: str) -> Any:
     if name not in __all__:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    from canvasbeam.dispatch import dispatcher as choice  # noqa: PLC0415
+    from canvasbeam.dispatch import dispatcher  # noqa: PLC0415
 
-    return getattr(choice, name)
+    return getattr(dispatcher, name)
--- a/tests/runtime/test_http_server.py
+++ b/tests/runtime/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server on loopback sockets: what a client sees of malformed requests, faults, slow heads and a drain."""
+"""The HTTP server on loopback sockets: responses to malformed requests, app faults, slow heads and a drain."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 async def exchange(server: HttpServer, data: bytes) -> bytes:
-    """Send bytes and read until the server closes."""
+    """Send `data`, and return all bytes until the server closes the connection."""
     reader, writer = await connect(server)
     writer.write(data)
     try:
@@ -70,17 +70,21 @@
 
 
 def test_malformed_request_is_answered_400_and_closed() -> None:
+    """Guards against a connection that stays open after a request whose end cannot be determined."""
+
     async def body() -> None:
         async with serving(answer_ok) as server:
-            for garbage in (b"\x00\x01\r\n\r\n", b"GET\r\n\r\n", b"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n"):
-                answer = await exchange(server, garbage)
-                assert answer.startswith(b"HTTP/1.1 400"), garbage
+            for malformed in (b"\x00\x01\r\n\r\n", b"GET\r\n\r\n", b"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n"):
+                answer = await exchange(server, malformed)
+                assert answer.startswith(b"HTTP/1.1 400"), malformed
                 assert b"connection: close" in answer.lower()
 
     run(body)
 
 
-def test_head_over_the_limit_is_answered_431() -> None:
+def test_request_head_over_the_limit_is_answered_431() -> None:
+    """Guards against a request head that grows without limit and so exhausts memory."""
+
     async def body() -> None:
         async with serving(answer_ok, HttpLimits(max_header_bytes=200)) as server:
             answer = await exchange(server, b"GET / HTTP/1.1\r\nHost: a\r\nX: " + b"x" * 400)
@@ -89,7 +93,9 @@
     run(body)
 
 
-def test_slow_head_is_closed_without_an_answer() -> None:
+def test_slow_head_closes_the_connection_without_a_response() -> None:
+    """Guards against a client that never completes a request head and so occupies a connection forever."""
+
     async def body() -> None:
         async with serving(answer_ok, HttpLimits(header_timeout_s=0.01)) as server:
             assert await exchange(server, b"GET / HT") == b""
@@ -97,7 +103,9 @@
     run(body)
 
 
-def test_idle_connection_is_closed() -> None:
+def test_idle_connection_is_closed_after_the_idle_timeout() -> None:
+    """Guards against idle client connections that occupy descriptors forever."""
+
     async def body() -> None:
         async with serving(answer_ok, HttpLimits(idle_timeout_s=0.01)) as server:
             answer = await exchange(server, GET)
@@ -106,9 +114,9 @@
     run(body)
 
 
-def test_fault_before_the_answer_is_500() -> None:
+def test_exception_before_the_response_is_answered_500() -> None:
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
-        raise RuntimeError("a fault of the app")
+        raise RuntimeError("exception raised by the app")
 
     async def body() -> None:
         async with serving(app) as server:
@@ -117,11 +125,13 @@
     run(body)
 
 
-def test_fault_within_a_chunked_answer_leaves_it_incomplete() -> None:
+def test_exception_within_a_chunked_response_leaves_the_response_incomplete() -> None:
+    """Guards against a final chunk after an exception of the app: the client would accept a partial body as whole."""
+
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         await send({"type": "http.response.start", "status": 200, "headers": []})
         await send({"type": "http.response.body", "body": b"part", "more_body": True})
-        raise RuntimeError("a fault of the app")
+        raise RuntimeError("exception raised by the app")
 
     async def body() -> None:
         async with serving(app) as server:
@@ -132,29 +142,33 @@
     run(body)
 
 
-def test_app_hears_of_a_client_that_has_gone() -> None:
+def test_app_receives_disconnect_when_the_client_closes() -> None:
+    """Guards against an app that continues to work on a request after the client has closed the connection."""
+
     async def body() -> None:
-        began, gone = asyncio.Event(), asyncio.Event()
+        started, disconnected = asyncio.Event(), asyncio.Event()
 
         async def app(scope: Scope, receive: Receive, send: Send) -> None:
             await receive()
-            began.set()
+            started.set()
             message = await receive()
             if message["type"] == "http.disconnect":
-                gone.set()
+                disconnected.set()
 
         async with serving(app) as server:
             _, writer = await connect(server)
             writer.write(GET)
-            await began.wait()
+            await started.wait()
             writer.close()
             async with asyncio.timeout(5):
-                await gone.wait()
+                await disconnected.wait()
 
     run(body)
 
 
-def test_upgrade_is_not_followed() -> None:
+def test_upgrade_to_another_protocol_is_ignored() -> None:
+    """Guards against hypercorn switching to HTTP/2 or WebSocket, which this server does not support."""
+
     async def body() -> None:
         async with serving(answer_ok, HttpLimits(idle_timeout_s=0.01)) as server:
             for protocol in (b"h2c", b"websocket"):
@@ -165,12 +179,14 @@
     run(body)
 
 
-def test_drain_ends_calls_in_progress_and_announces_the_close() -> None:
+def test_drain_waits_for_requests_in_progress_and_announces_the_close() -> None:
+    """Guards against a drain that aborts requests in progress or keeps their connections open after the response."""
+
     async def body() -> None:
-        began, finish = asyncio.Event(), asyncio.Event()
+        started, finish = asyncio.Event(), asyncio.Event()
 
         async def app(scope: Scope, receive: Receive, send: Send) -> None:
-            began.set()
+            started.set()
             await finish.wait()
             await answer_ok(scope, receive, send)
 
@@ -178,7 +194,7 @@
             idle_reader, _ = await connect(server)
             reader, writer = await connect(server)
             writer.write(GET)
-            await began.wait()
+            await started.wait()
             drained = asyncio.create_task(server.drain(5))
             assert await idle_reader.read() == b""
             assert server.busy_count == 1
@@ -191,25 +207,29 @@
     run(body)
 
 
-def test_drain_tells_that_a_call_has_not_ended() -> None:
+def test_drain_returns_false_if_a_request_outlasts_the_timeout() -> None:
+    """Guards against a drain that reports success while a request is still in progress at the timeout."""
+
     async def body() -> None:
-        began = asyncio.Event()
+        started = asyncio.Event()
 
         async def app(scope: Scope, receive: Receive, send: Send) -> None:
-            began.set()
+            started.set()
             while (await receive())["type"] != "http.disconnect":
                 pass
 
         async with serving(app) as server:
             _, writer = await connect(server)
             writer.write(GET)
-            await began.wait()
+            await started.wait()
             assert not await server.drain(0.01)
 
     run(body)
 
 
 def test_connections_over_the_limit_are_reset() -> None:
+    """Guards against clients that exhaust the descriptors of the process with connections."""
+
     async def body() -> None:
         async with serving(answer_ok, HttpLimits(max_connections=1)) as server:
             reader, writer = await connect(server)
