--- a/canvasbeam/data_plane/__main__.py
+++ b/canvasbeam/data_plane/__main__.py
@@ -16,9 +16,9 @@
 def main() -> int:
     """Listen, import the program without collecting garbage, of which imports leave hardly any, and run it."""
     gc.disable()
-    from canvasbeam.runtime.unused_imports import leave_out_unused  # noqa: PLC0415
+    from canvasbeam.runtime.unused_imports import block_unused_imports  # noqa: PLC0415
 
-    leave_out_unused()
+    block_unused_imports()
     from canvasbeam.runtime.listeners import open_listeners  # noqa: PLC0415
 
     listeners = open_listeners(("front",))
--- a/canvasbeam/runtime/unused_imports.py
+++ b/canvasbeam/runtime/unused_imports.py
@@ -11,7 +11,7 @@
 UNUSED_MODULES = ("trio",)
 
 
-def leave_out_unused() -> None:
+def block_unused_imports() -> None:
     """Make the import of each unused module fail as if the module were not installed; call before other imports."""
     for name in UNUSED_MODULES:
         if name not in sys.modules:
