--- a/canvasbeam/runtime/planned_shutdown.py
+++ b/canvasbeam/runtime/planned_shutdown.py
@@ -70,7 +70,7 @@
     def __init__(self, times: ShutdownTimes, classes: Iterable[str]) -> None:
         self.times = times
         self._samples: dict[str, deque[int]] = {name: deque(maxlen=times.max_samples) for name in classes}
-        self._begun: int | None = None
+        self._began_at: int | None = None
         self._service_times: dict[str, int] = {}  # quantile for each class, in nanoseconds, set by `begin`
         self._last_call = times.window
 
@@ -80,9 +80,9 @@
 
     def begin(self, now: int) -> bool:
         """Begin the shutdown and return True; on a later call, return False and change nothing."""
-        if self._begun is not None:
+        if self._began_at is not None:
             return False
-        self._begun = now
+        self._began_at = now
         self._service_times = {name: self._service_time(spans) for name, spans in self._samples.items()}
         shortest = min(self._service_times.values(), default=self.times.assumed_service_time)
         self._last_call = max(self.times.window, self.times.last_answer - shortest)
@@ -95,13 +95,13 @@
 
     def elapsed(self, now: int) -> int:
         """Return the nanoseconds since the shutdown began; 0 before the signal."""
-        return 0 if self._begun is None else now - self._begun
+        return 0 if self._began_at is None else now - self._began_at
 
     def phase(self, now: int) -> Phase:
         """Return the phase of the shutdown at time `now`."""
-        if self._begun is None:
+        if self._began_at is None:
             return Phase.SERVING
-        elapsed = now - self._begun
+        elapsed = now - self._began_at
         if elapsed >= self.times.last_answer:
             return Phase.ENDED
         if elapsed >= self._last_call:
@@ -110,16 +110,16 @@
 
     def deadline(self, now: int, job_class: str, requested: int) -> int | None:
         """Return the deadline of a request that arrives at `now`, or None if the request is rejected at once."""
-        if self._begun is None:
+        if self._began_at is None:
             return requested
-        last_answer_at = self._begun + self.times.last_answer
+        last_answer_at = self._began_at + self.times.last_answer
         if self.phase(now) >= Phase.CLOSING or now + self._service_times[job_class] > last_answer_at:
             return None
         return min(requested, last_answer_at)
 
     def phase_times(self) -> tuple[int, ...]:
         """Return the start time of each phase after ANNOUNCED, then the exit time; empty before the signal."""
-        if self._begun is None:
+        if self._began_at is None:
             return ()
         spans = (self.times.window, self._last_call, self.times.last_answer, self.times.leave)
-        return tuple(self._begun + span for span in spans)
+        return tuple(self._began_at + span for span in spans)
--- a/tests/scheduler/test_planned_shutdown.py
+++ b/tests/scheduler/test_planned_shutdown.py
@@ -102,7 +102,7 @@
     """Broken: a second signal begins the end anew."""
 
     def begin(self, now: int) -> bool:
-        self._begun = None
+        self._began_at = None
         return super().begin(now)
 
 
@@ -117,9 +117,9 @@
     """Broken: every request is taken until the last call, however long its class takes."""
 
     def deadline(self, now: int, job_class: str, requested: int) -> int | None:
-        if self._begun is None or self.phase(now) >= Phase.CLOSING:
+        if self._began_at is None or self.phase(now) >= Phase.CLOSING:
             return super().deadline(now, job_class, requested)
-        return min(requested, self._begun + self.times.last_answer)
+        return min(requested, self._began_at + self.times.last_answer)
 
 
 class Stays(PlannedShutdown):
@@ -135,7 +135,7 @@
     """Broken: what is served during the end moves its phases."""
 
     def phase(self, now: int) -> Phase:
-        if self._begun is not None:
+        if self._began_at is not None:
             least = min(self._service_time(sample) for sample in self._samples.values())
             self._last_call = max(self.times.window, self.times.last_answer - least)
         return super().phase(now)
