--- a/canvasbeam/runtime/planned_shutdown.py
+++ b/canvasbeam/runtime/planned_shutdown.py
@@ -72,7 +72,7 @@
         self._samples: dict[str, deque[int]] = {name: deque(maxlen=times.max_samples) for name in classes}
         self._began_at: int | None = None
         self._service_times: dict[str, int] = {}  # quantile for each class, in nanoseconds, set by `begin`
-        self._last_call = times.window
+        self._closing_delay = times.window
 
     def record_service_time(self, job_class: str, service_time: int) -> None:
         """Record the service time of a request of class `job_class`, in nanoseconds."""
@@ -85,7 +85,7 @@
         self._began_at = now
         self._service_times = {name: self._service_time(spans) for name, spans in self._samples.items()}
         shortest = min(self._service_times.values(), default=self.times.assumed_service_time)
-        self._last_call = max(self.times.window, self.times.last_answer - shortest)
+        self._closing_delay = max(self.times.window, self.times.last_answer - shortest)
         return True
 
     def _service_time(self, spans: deque[int]) -> int:
@@ -104,7 +104,7 @@
         elapsed = now - self._began_at
         if elapsed >= self.times.last_answer:
             return Phase.ENDED
-        if elapsed >= self._last_call:
+        if elapsed >= self._closing_delay:
             return Phase.CLOSING
         return Phase.HANDING_OVER if elapsed >= self.times.window else Phase.ANNOUNCED
 
@@ -121,5 +121,5 @@
         """Return the start time of each phase after ANNOUNCED, then the exit time; empty before the signal."""
         if self._began_at is None:
             return ()
-        spans = (self.times.window, self._last_call, self.times.last_answer, self.times.leave)
+        spans = (self.times.window, self._closing_delay, self.times.last_answer, self.times.leave)
         return tuple(self._began_at + span for span in spans)
--- a/tests/scheduler/test_planned_shutdown.py
+++ b/tests/scheduler/test_planned_shutdown.py
@@ -127,7 +127,7 @@
 
     def begin(self, now: int) -> bool:
         began = super().begin(now)
-        self._last_call = self.times.last_answer + 1
+        self._closing_delay = self.times.last_answer + 1
         return began
 
 
@@ -137,7 +137,7 @@
     def phase(self, now: int) -> Phase:
         if self._began_at is not None:
             least = min(self._service_time(sample) for sample in self._samples.values())
-            self._last_call = max(self.times.window, self.times.last_answer - least)
+            self._closing_delay = max(self.times.window, self.times.last_answer - least)
         return super().phase(now)
 
 
