--- a/canvasbeam/data_plane/__init__.py
+++ b/canvasbeam/data_plane/__init__.py
@@ -1,16 +1,17 @@
-"""The data plane: it takes requests from clients, has the dispatcher place them, and sends them to workers.
+"""The data plane accepts requests of clients and forwards each request to a worker that the dispatcher chooses.
 
-It owns the open requests of its process, the connections to workers, and this node's own answers. It must never give
-two answers to a request, say that a request has not run where it may have, or pass on a worker's answer that is not
-complete. Nothing here is written to disk, and no other package imports it.
+The package owns the open requests of its process, the connections to workers, and the answers that the node generates
+itself. A request must never get two answers. The node must never state that a request has not run when a worker may
+have run the request, and must never forward an incomplete answer of a worker as complete. The package writes nothing
+to disk, and no other package imports the package.
 
-Where to start reading, in the order that a request passes through:
+The main modules, in the order in which a request passes through these modules:
 
-    program.py            the parts and the order of start and end; placement.py, servers.py, readiness.py, shutdown.py
+    program.py            components, startup, shutdown: placement.py, servers.py, readiness.py, startup.py, shutdown.py
     ingress.py            reading a request: request_head.py, body_reader.py, memory_budget.py, routes.py
-    router.py             the request's way from its arrival to its answer; the list of its parts is at its top
+    router.py             a request from arrival to answer; the module docstring of router.py lists its components
     attempt_runner.py     one attempt at a worker: worker_connections.py, worker_request.py, exchange.py, streams.py
-    endpoint_list.py      the workers, from the item table; configuration_view.py does the same for routes and services
-    outcome_recorder.py   how requests ended: outcomes.py, metrics.py
-    placement_notices.py  what nodes tell each other of their attempts; shared_limits.py: their common limits
+    endpoint_list.py      workers from the item table; configuration_view.py: routes and services from the item table
+    outcome_recorder.py   the outcomes of requests: outcomes.py, metrics.py
+    placement_notices.py  notices between nodes about their attempts; shared_limits.py: limits shared by all nodes
 """
--- a/canvasbeam/data_plane/__main__.py
+++ b/canvasbeam/data_plane/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m canvasbeam.data_plane`: the process that serves clients."""
+"""Entry point of `python3 -m canvasbeam.data_plane`, the process that serves clients."""
 
 import gc
 import sys
@@ -7,14 +7,14 @@
 
 
 def metrics_port(arguments: list[str]) -> int | None:
-    """Return the port of `--metrics PORT/PATH`, the form that deploy files use; every path is answered."""
+    """Return the port of `--metrics PORT/PATH`, as in deploy files, or None; the metrics server ignores the path."""
     if METRICS_OPTION not in arguments:
         return None
     return int(arguments[arguments.index(METRICS_OPTION) + 1].partition("/")[0])
 
 
 def main() -> int:
-    """Listen, import the program without collecting garbage, of which imports leave hardly any, and run it."""
+    """Open the listeners, import the program without garbage collection (imports leave hardly any), and run it."""
     gc.disable()
     from canvasbeam.runtime.unused_imports import leave_out_unused  # noqa: PLC0415
 
--- a/canvasbeam/data_plane/body_reader.py
+++ b/canvasbeam/data_plane/body_reader.py
@@ -1,6 +1,7 @@
-"""Reads the body of one request, within the limit of a body, the memory of all requests and a time.
+"""Read the body of one request within a size limit, the memory budget of all requests, and a timeout.
 
-It reserves memory before it reads and never releases it: `Ingress` does so when the request is over.
+`BodyReader` reserves memory before it reads and never releases the reservation; `Ingress` releases the reservation
+when the request is over.
 """
 
 from __future__ import annotations
@@ -17,20 +18,21 @@
 
 
 class ClientDisconnectedError(Exception):
-    """The client closed its connection before its request was read."""
+    """Raised when a client closes its connection before its request was read completely."""
 
 
 class BodyReader:
-    """Reads one body."""
+    """Reads the body of one request."""
 
     def __init__(self, receive: Receive, reservation: MemoryReservation) -> None:
         self._receive = receive
         self._reservation = reservation
 
     async def read(self, headers: Headers, limit_bytes: int, wait_ns: int) -> bytes | Failure:
-        """Return the complete body, or why it is rejected; raise `ClientDisconnectedError` where the client leaves.
+        """Return the complete body, or the failure with which the request is rejected.
 
-        The failures are `REQUEST_TOO_LARGE`, `OVERLOADED` and, after `wait_ns`, `REQUEST_INCOMPLETE`.
+        The failures are `REQUEST_TOO_LARGE`, `OVERLOADED` and, after `wait_ns` nanoseconds, `REQUEST_INCOMPLETE`.
+        Raise `ClientDisconnectedError` if the client closes its connection.
         """
         announced = int(find_header(headers, CONTENT_LENGTH) or 0)
         if announced > limit_bytes:
--- a/canvasbeam/data_plane/configuration_view.py
+++ b/canvasbeam/data_plane/configuration_view.py
@@ -1,7 +1,8 @@
-"""The newest configuration and evacuations that this node has received, taken from the item table.
+"""The newest configuration and zone evacuations that this node has received through the item table.
 
 `ConfigurationView` owns the configuration in force on this node; routes, services and limits change together or not at
-all. It never goes back to an older version, and keeps the one in force where a newer one cannot be read.
+all. The configuration in force is never replaced by an older version, and stays in force if a newer version cannot be
+parsed.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class ConfigurationView:
-    """Adopts each newer configuration; the item table guarantees that versions never go back."""
+    """Adopts each newer configuration; the item table guarantees that versions never decrease."""
 
     def __init__(self, table: ItemTable) -> None:
         self._table = table
@@ -33,13 +34,13 @@
         self._on_items(list(table))
 
     def add_listener(self, listener: ConfigurationListener) -> None:
-        """Call the listener with each configuration adopted from now on, and with the present one."""
+        """Call the listener with the current configuration, if any, and with each configuration adopted later."""
         self._listeners.append(listener)
         if self.current is not None:
             listener(self.current)
 
     async def wait_for_first(self, timeout_s: float) -> None:
-        """Return once a configuration is known, or the time is over."""
+        """Return when the first configuration has been adopted, or after `timeout_s` seconds."""
         if self.current is not None:
             return
         try:
@@ -60,7 +61,7 @@
             document = item.document or document_of(json.loads(item.payload))
             configuration = Configuration(document, self.current)
         except (ValueError, KeyError, TypeError):
-            log.exception("configuration unreadable action=the one before stays in force")
+            log.exception("configuration unreadable action=previous configuration stays in force")
             return
         self.current = configuration
         self._adopted.set()
--- a/canvasbeam/data_plane/headers.py
+++ b/canvasbeam/data_plane/headers.py
@@ -1,6 +1,7 @@
-"""HTTP headers as raw bytes: the names that this service reads or sets, and which headers pass from end to end.
+"""HTTP headers as raw bytes: the names of headers that this service uses, and the filter for hop-by-hop headers.
 
-It holds no state and knows nothing of requests. Names of headers are lower case, as the parsers hand them over.
+The module holds no state and does not depend on request types. Header names are in lower case, as the HTTP parsers
+return them.
 """
 
 from __future__ import annotations
@@ -8,7 +9,7 @@
 Headers = list[tuple[bytes, bytes]]
 
 REQUEST_ID = b"x-request-id"
-DEADLINE = b"x-deadline"  # whole milliseconds
+DEADLINE = b"x-deadline"  # time that the sender waits for the answer, in milliseconds; a fraction is ignored
 TARGET_INSTANCE = b"x-target-instance"
 NOT_EXECUTED = b"x-not-executed"
 SEAL = b"x-response-seal"
@@ -16,7 +17,7 @@
 LAST_EVENT_ID = b"last-event-id"
 CONTENT_LENGTH = b"content-length"
 
-# RFC 9110, 7.6.1, and what RFC 2616, 13.5.1 listed besides.
+# The hop-by-hop headers of RFC 9110, section 7.6.1, and the additional headers of RFC 2616, section 13.5.1.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -41,7 +42,7 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the headers without those that concern one connection only, by the standard or by `Connection`."""
+    """Return the headers without the hop-by-hop headers: `HOP_BY_HOP` and the headers that `Connection` names."""
     dropped = HOP_BY_HOP
     for name, value in headers:
         if name == b"connection":
--- a/canvasbeam/data_plane/ingress.py
+++ b/canvasbeam/data_plane/ingress.py
@@ -1,7 +1,7 @@
-"""The clients' side: an ASGI app that reads a request completely, finds its route and submits it to the router.
+"""The ASGI app for clients: it reads a request completely, finds its route, and submits the request to the router.
 
-`Ingress` answers what it rejects before a request has a route; from `RequestRouter.submit` on the router owes the
-answer. A rejection that rests on the configuration is never given while a newer configuration may be in force.
+`Ingress` answers the requests that it rejects; after `RequestRouter.submit` the router is responsible for the answer.
+A rejection that depends on the configuration is never sent while a newer configuration may be in force.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from canvasbeam.runtime.http_server import Receive, Scope, Send
 from canvasbeam.units import MILLISECOND, SECOND
 
-# After one of these the rest of the request may be unread.
+# Failures after which `Ingress` closes the connection, because part of the request may still be unread.
 CLOSING_CODES = frozenset(
     (
         ResultCode.REQUEST_INVALID,
@@ -33,21 +33,22 @@
         ResultCode.OVERLOADED,
     )
 )
-# These rest on the configuration.
+# Failures that depend on the configuration, so an outdated configuration may cause them wrongly.
 CODES_FROM_CONFIGURATION = frozenset(
     (ResultCode.REQUEST_NO_ROUTE, ResultCode.REQUEST_TOO_LARGE, ResultCode.REQUEST_HEAD_TOO_LARGE)
 )
-# After its start a node waits so long with a request until a configuration is known: others send it in less.
+# A request that arrives before the first configuration waits this long for that configuration, because other nodes
+# send the configuration to a starting node in less time.
 FIRST_CONFIGURATION_WAIT_S = 1.5
 SHUTDOWN_RETRY_AFTER_NS = 50 * MILLISECOND
 MAX_BODY_WAIT_NS = 10 * SECOND
 
 
 class Ingress:
-    """The app that serves clients.
+    """The ASGI app that serves clients.
 
-    `is_configuration_current` tells whether no newer configuration than this node's is known of; `on_rejected` is
-    called with the code of each rejection that is given here.
+    `is_configuration_current` returns True if this node knows of no configuration newer than its own; `on_rejected` is
+    called with the result code of each rejection by `Ingress`.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
         self._on_rejected = on_rejected
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one request."""
+        """Serve one HTTP request; ignore other ASGI scopes."""
         if scope["type"] != "http":
             return
         reservation = MemoryReservation(self._memory)
@@ -103,7 +104,7 @@
         await self._wait_for_end(request, receive)
 
     def _unless_outdated(self, failure: Failure) -> Failure:
-        """Return the failure, or `REQUEST_NOT_READY` where it rests on a configuration that may be outdated."""
+        """Return the failure, or `REQUEST_NOT_READY` if it depends on a configuration that may be outdated."""
         if failure.code not in CODES_FROM_CONFIGURATION or self._is_configuration_current():
             return failure
         return Failure(
@@ -111,7 +112,7 @@
         )
 
     async def _wait_for_end(self, request: ClientRequest, receive: Receive) -> None:
-        """Return when the server says that the exchange is over: answered, or left by the client."""
+        """Wait until the client disconnects or its answer is complete; report an early disconnect to the router."""
         try:
             while (await receive())["type"] != "http.disconnect":
                 pass
@@ -144,13 +145,13 @@
         return self._make_request(scope, body, route, answer, arrived_ns)
 
     def _body_wait_ns(self, scope: Scope, headers: Headers) -> int:
-        """Return how long to wait for the body: an answer that comes later than the route's time is of no use."""
+        """Return how long to wait for the body, in nanoseconds: an answer after the route's timeout is of no use."""
         route = self._find_route(scope, headers)
         longest_ns = MAX_BODY_WAIT_NS if route is None else min(MAX_BODY_WAIT_NS, route.timeout_ns)
         return min(longest_ns, client_wait_ns(headers))
 
     def _find_route(self, scope: Scope, headers: Headers) -> Route | None:
-        """Return the route by the configuration that is in force now."""
+        """Return the route of a request in the current configuration, or None if no route matches."""
         configuration = self._view.current
         if configuration is None:
             return None
--- a/canvasbeam/data_plane/open_requests.py
+++ b/canvasbeam/data_plane/open_requests.py
@@ -1,8 +1,8 @@
-"""What is kept of each request that has no complete answer yet: its dispatches and their attempts.
+"""The state of each request that has no complete answer yet: its dispatches and their attempts.
 
-    OpenRequest     one for each open request; owned by `RequestTable`
-    Dispatch        what the dispatcher knows a request as; owned by `DispatchTable`
-    Attempt         one sending of a dispatch to a worker; changed by `AttemptRunner` alone
+    OpenRequest     the state of one open request; owned by `RequestTable`
+    Dispatch        one submission of a request to the dispatcher; owned by `DispatchTable`
+    Attempt         one attempt to send a dispatch to a worker; changed by `AttemptRunner` alone
 
 A request has one dispatch, and one more for each time that its stream is resumed at another worker.
 """
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One sending of a request to one worker."""
+    """One attempt to run a request on one worker."""
 
     dispatch: Dispatch
     number: int
@@ -32,56 +32,56 @@
 
     @property
     def written(self) -> bool:
-        """Whether any byte of it was given to the kernel."""
+        """True if any byte of the request was passed to the kernel for this attempt."""
         return self.exchange is not None and self.exchange.written
 
 
 @dataclass(slots=True, eq=False)
 class Dispatch:
-    """What the dispatcher knows a request as, by a name that is never used again."""
+    """One submission of a request to the dispatcher, identified by a name that is never reused."""
 
     name: str
     request: ClientRequest
     attempts: list[Attempt] = field(default_factory=list)
-    closed: bool = False  # the dispatcher was notified, or said, that it is over
-    awaits_worker: bool = False  # the dispatcher gave up at the deadline, with an attempt still in flight
+    closed: bool = False  # True once the dispatcher has ended the dispatch or been notified of its end
+    awaits_worker: bool = False  # True if the dispatcher ended the dispatch near the deadline with an attempt in flight
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """What is kept with a request that has no complete answer yet."""
+    """The deadline timer and the dispatches of a request that has no complete answer yet."""
 
     timer: asyncio.TimerHandle
     dispatches: list[Dispatch] = field(default_factory=list)
 
     def attempts_in_flight(self) -> list[Attempt]:
-        """Return the attempts that have no outcome."""
+        """Return the attempts that have no outcome yet."""
         return [attempt for dispatch in self.dispatches for attempt in dispatch.attempts if not attempt.ended]
 
 
 class DispatchTable:
-    """The dispatches that the dispatcher may still name, or that have an attempt in flight."""
+    """The dispatches that an action of the dispatcher may still refer to, or that have an attempt in flight."""
 
     def __init__(self) -> None:
         self._by_name: dict[str, Dispatch] = {}
         self._last_number = 0
 
     def add(self, request: ClientRequest) -> Dispatch:
-        """Make a dispatch for a request."""
+        """Create and store a dispatch for a request, under a new name."""
         self._last_number += 1
         dispatch = Dispatch(str(self._last_number), request)
         self._by_name[dispatch.name] = dispatch
         return dispatch
 
     def get(self, name: str) -> Dispatch | None:
-        """Return the dispatch of this name, or None where it is over."""
+        """Return the dispatch of this name, or None if the dispatch is over."""
         return self._by_name.get(name)
 
     def all(self) -> tuple[Dispatch, ...]:
-        """Return all dispatches."""
+        """Return all stored dispatches."""
         return tuple(self._by_name.values())
 
     def forget_if_over(self, dispatch: Dispatch) -> None:
-        """Forget a dispatch that is closed and has no attempt in flight."""
+        """Remove a dispatch if it is closed and has no attempt in flight."""
         if dispatch.closed and all(attempt.ended for attempt in dispatch.attempts):
             self._by_name.pop(dispatch.name, None)
--- a/canvasbeam/data_plane/program.py
+++ b/canvasbeam/data_plane/program.py
@@ -1,7 +1,7 @@
-"""The data-plane process: its parts, and their start and end in order.
+"""The data-plane process: its components, and the order of startup and shutdown.
 
-`DataPlane` owns the parts and connects them; each part owns its own state. The order in which parts listen to the item
-table and to the configuration is the order in which they are made here.
+`DataPlane` owns the components and connects them; each component owns its own state. Components receive changes of the
+item table and of the configuration in the order in which `DataPlane` constructs the components.
 """
 
 from __future__ import annotations
@@ -32,14 +32,16 @@
 from canvasbeam.runtime.process import LEAVE_FLUSH_S, run_process, run_until_terminated
 from canvasbeam.runtime.settings import Address, ProcessSettings
 
-MIN_ASSUMED_NODES = 4  # until more members are known: they become known one after the other
-BODY_SHARE_OF_MEMORY = 0.25  # of the process's memory
+# Lower bound of the assumed number of data-plane nodes, among which the connections to a worker are divided. A starting
+# node learns of the other nodes one by one, so its own count is too low at first.
+MIN_ASSUMED_NODES = 4
+BODY_SHARE_OF_MEMORY = 0.25  # share of the process's memory that all requests together may reserve
 
 log = logs.get_logger(__name__)
 
 
 class DataPlane:
-    """All parts of one data-plane node."""
+    """All components of one data-plane node."""
 
     def __init__(
         self, settings: ProcessSettings, listeners: Listeners | None = None, metrics: Address | None = None
@@ -109,7 +111,7 @@
         self._router.change_configuration(configuration)
 
     def _metric_lines(self) -> Iterator[str]:
-        """Yield the figures of this process as text."""
+        """Yield the lines of the metrics page of this process."""
         yield from outcome_lines(self._outcomes.counters)
         yield from gauge_lines(
             {
@@ -121,19 +123,19 @@
         )
 
     def _is_configuration_current(self) -> bool:
-        """Return whether this node may say that there is no such route: it knows of no newer configuration."""
+        """Return True if rejections may rely on the configuration: the lease is in force, no newer version is known."""
         return self._cluster.has_majority() and not self._cluster.is_behind
 
     def _on_items(self, items: Sequence[Item]) -> None:
-        """Check readiness, after the other parts have taken these items."""
+        """Check readiness, after the other components have processed these items."""
         self._readiness.check_soon()
 
     def is_ready(self) -> bool:
-        """Return whether clients may be sent here."""
+        """Return True if load balancers may send clients to this node."""
         return self._startup.is_done() and self._router.live_workers > 0 and not self._shutdown.has_begun
 
     async def start(self) -> Failure | None:
-        """Listen and join the cluster; return `ADDRESS_IN_USE`, or the failure of a server, where that fails."""
+        """Start the servers and join the cluster; return the first failure, such as `ADDRESS_IN_USE`, or None."""
         failure = await self._servers.start()
         if failure is not None:
             return failure
@@ -146,13 +148,13 @@
         return None
 
     def change_settings(self, settings: ProcessSettings) -> None:
-        """Take changed settings: those of the deployment's shape are used from now on."""
+        """Apply changed settings; those that describe the deployment, such as seed peers, take effect at once."""
         self._settings = settings
         self._cluster.set_seeds(settings.seed_peers)
         self._endpoints.refresh()
 
     async def stop(self) -> None:
-        """End in order: not ready at once, then every open request answered, then out of the cluster."""
+        """Shut down: publish not ready, answer all open requests, leave the cluster, and close all connections."""
         self._readiness.stop()
         shutdown = asyncio.ensure_future(self._shutdown.run(self._servers.front, self._router))
         self._cluster.set_ready(False)
@@ -165,7 +167,7 @@
 
 
 async def run(settings: ProcessSettings, listeners: Listeners | None = None, metrics_port: int | None = None) -> int:
-    """Run one data-plane node until it is told to end; the settings' address for metrics goes before the port."""
+    """Run one data-plane node until a signal ends it; a metrics address in the settings overrides `metrics_port`."""
     metrics = settings.listen.get("metrics")
     if metrics is None and metrics_port is not None:
         metrics = Address(settings.ip, metrics_port)
@@ -173,5 +175,5 @@
 
 
 def main(listeners: Listeners | None = None, metrics_port: int | None = None) -> int:
-    """Run the program; return its exit status."""
+    """Run the data-plane process; return its exit status."""
     return run_process(lambda settings: run(settings, listeners, metrics_port))
--- a/canvasbeam/data_plane/prompt_headers.py
+++ b/canvasbeam/data_plane/prompt_headers.py
@@ -1,6 +1,6 @@
-"""What the headers of a request say of its prompt, and the priority that a worker is given for it.
+"""Parse the headers that describe the prompt of a request, and compute the request's priority at a worker.
 
-`X-Tokens`, `X-Prefix-Hash` and `X-Model` are read for placement only; they reach the worker as they were sent.
+`X-Tokens`, `X-Prefix-Hash` and `X-Model` are read only for placement; the node forwards them to the worker unchanged.
 """
 
 from __future__ import annotations
@@ -8,15 +8,16 @@
 from canvasbeam.data_plane.requests import ClientRequest
 from canvasbeam.dispatch.events import PromptEstimate, PromptPart
 
-LOWEST_WORKER_PRIORITY = 9  # the greatest number that a worker knows; 0 is the most urgent
-PROMPT_SIZE_STEPS_TOKENS = (1_500, 4_000, 10_000)  # above each of these a prompt is less urgent
-PRIORITY_STEP = 2
+LOWEST_WORKER_PRIORITY = 9  # the greatest priority number of a worker; 0 is the most urgent
+PROMPT_SIZE_STEPS_TOKENS = (1_500, 4_000, 10_000)  # a prompt is one step less urgent for each threshold that it exceeds
+PRIORITY_STEP = 2  # added to the priority number for each threshold that the prompt exceeds
 
 
 def worker_priority(request: ClientRequest) -> bytes:
-    """Return the value of `Priority` for a worker: the route's, and longer prompts after shorter ones.
+    """Return the `Priority` header for a worker: the priority of the route, less urgent for longer prompts.
 
-    Workers prefill one prompt after the other. Behind a long one many short ones are late, while they hardly delay it.
+    Workers prefill one prompt at a time, so a long prompt delays many short prompts, while short prompts hardly delay a
+    long one.
     """
     prompt = read_prompt(request)
     tokens = prompt.tokens_in if prompt is not None else 0
@@ -25,7 +26,7 @@
 
 
 def read_prompt(request: ClientRequest) -> PromptEstimate | None:
-    """Return what a request says of its prompt; None where it says nothing, or what cannot be read."""
+    """Return the estimate of the prompt from the headers; None if `X-Tokens` is missing or a header is malformed."""
     tokens = parts = model = None
     for name, value in request.headers:
         if name == b"x-tokens":
--- a/canvasbeam/data_plane/readiness.py
+++ b/canvasbeam/data_plane/readiness.py
@@ -1,6 +1,7 @@
-"""Whether this node can serve clients: the app that tells the platform, and the task that tells the cluster.
+"""Readiness of this node: the HTTP check for the platform, and the task that publishes readiness in the cluster.
 
-`ReadinessPublisher` owns what was published last. Neither decides what makes a node ready; `DataPlane.is_ready` does.
+`ReadinessPublisher` owns the readiness that was published last. `DataPlane.is_ready` alone decides whether a node is
+ready.
 """
 
 from __future__ import annotations
@@ -13,9 +14,11 @@
 from canvasbeam.runtime.http_server import Receive, Scope, Send
 
 READY_PATH = "/v1/readyz"
-# At the latest after this time a change is published; items that make the node ready are looked at at once.
+# A change of readiness is published after at most this interval; `check_soon` publishes at once that the node became
+# ready through a change of the item table.
 READINESS_CHECK_INTERVAL_S = 0.2
-# The same until the node is ready for the first time: it waits for contact then, of which no item tells.
+# The interval until the node is ready for the first time. It is shorter, because a starting node waits for its contact
+# lease, which changes without a change of the item table.
 STARTUP_CHECK_INTERVAL_S = 0.05
 
 
@@ -26,7 +29,7 @@
         self._is_ready = is_ready
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one check."""
+        """Answer one readiness check."""
         if scope["type"] == "http":
             await send_answer(send, Answer(self._status(scope["path"]), [(b"content-length", b"0")]))
 
@@ -37,7 +40,7 @@
 
 
 class ReadinessPublisher:
-    """Publishes in the cluster whether this node is ready, from `start` until `stop`."""
+    """Publishes the readiness of this node in the cluster, from `start` until `stop`."""
 
     def __init__(self, is_ready: Callable[[], bool], publish: Callable[[bool], None]) -> None:
         self._is_ready = is_ready
@@ -48,16 +51,16 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to publish; the node counts as not ready until then."""
+        """Start publishing; the cluster treats the node as not ready until `publish` is first called."""
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """Publish nothing more."""
+        """Stop publishing changes of readiness."""
         if self._task is not None:
             self._task.cancel()
 
     def check_soon(self) -> None:
-        """Look at once whether the node has become ready, where it was not."""
+        """Publish without delay if the node has become ready since the last publication."""
         if not self._is_published_ready and self._is_ready():
             self._changed.set()
 
--- a/canvasbeam/data_plane/request_classes.py
+++ b/canvasbeam/data_plane/request_classes.py
@@ -1,7 +1,7 @@
-"""The dispatcher's classes of requests, made from the routes of a configuration: one for each route and service of it.
+"""The request classes of the dispatcher, built from a configuration: one class per route and service of that route.
 
-`RequestClasses` owns the classes that the dispatcher knows. Of hundreds of routes only some are asked for: the
-dispatcher learns of a class when its first request comes.
+`RequestClasses` owns the classes that are registered with the dispatcher. A class is registered when its first request
+arrives, because only some of the hundreds of routes of a configuration receive requests.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from canvasbeam.dispatch.events import ClassesChanged
 from canvasbeam.dispatch.settings import Effect, RequestClass
 
-LOWEST_PRIORITY = 9  # of a route; the dispatcher counts the other way, with 0 as the lowest
-LATE_ANSWER_VALUE = 0.3  # of an answer after the latency target, where one in time has 1
+LOWEST_PRIORITY = 9  # least urgent priority of a route; in the dispatcher's opposite order 0 is the least urgent
+LATE_ANSWER_VALUE = 0.3  # value of an answer after the latency target; an answer in time has 1
 
 
 def request_class_of(route: Route, service: str) -> RequestClass:
-    """Return the class for the requests of a route to one of its services."""
+    """Return the dispatcher's class for the requests of a route to one of its services."""
     return RequestClass(
         name=request_class_name(route.name, service),
         latency_target_ns=max(1, route.latency_target_ns),
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _KnownClass:
-    """A class, and where it comes from: the key of its route, and the service."""
+    """A registered class, with the key of its route (host and prefix) and its service."""
 
     host: str
     prefix: str
@@ -44,21 +44,21 @@
 
 
 class RequestClasses:
-    """The classes of the routes that were asked for, by name."""
+    """The registered classes by name: those of the routes that have received requests."""
 
     def __init__(self) -> None:
         self._configuration: Configuration | None = None
         self._known: dict[str, _KnownClass] = {}
 
     def change_configuration(self, configuration: Configuration) -> ClassesChanged:
-        """Put another configuration in force: classes change with their routes, or are removed with them."""
+        """Replace the configuration; update the classes of changed routes, and remove the classes of removed routes."""
         self._configuration = configuration
         found = {name: self._find(name, known.host, known.prefix, known.service) for name, known in self._known.items()}
         self._known = {name: known for name, known in found.items() if known is not None}
         return self.as_event()
 
     def admit(self, route: Route, service: str) -> bool:
-        """Return whether the configuration in force has the route and service; their class is known from then on."""
+        """Register the class of a route and service; return False if the configuration does not contain both."""
         name = request_class_name(route.name, service)
         if name in self._known:
             return True
@@ -72,7 +72,7 @@
         return len(self._known)
 
     def as_event(self) -> ClassesChanged:
-        """Return the event that names all classes, and the kinds of workers that they ask for, to the dispatcher."""
+        """Return the dispatcher event with all registered classes and the kinds of workers of the configuration."""
         classes = tuple(known.request_class for known in self._known.values())
         services = self._configuration.services if self._configuration is not None else ()
         kinds = {*services, *(request_class.kind for request_class in classes if request_class.kind is not None)}
--- a/canvasbeam/data_plane/request_head.py
+++ b/canvasbeam/data_plane/request_head.py
@@ -1,6 +1,7 @@
-"""What the head of a client's request says: whether it is valid, its size, its host, and how long its client waits.
+"""Read the head of a client's request: its validity, size, host, and the time that the client waits.
 
-Pure functions of an ASGI scope and its headers; what depends on the configuration is decided by `Ingress`.
+All functions are pure functions of an ASGI scope and its headers; `Ingress` makes the checks that depend on the
+configuration.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from canvasbeam.runtime.http_server import Scope
 from canvasbeam.units import MILLISECOND
 
-# How long before a client's own deadline its answer leaves.
+# An answer is sent at the latest this long before the client's own deadline, to arrive before that deadline.
 CLIENT_MARGIN_NS = 10 * MILLISECOND
 MAX_REQUEST_ID_BYTES = 256
 MAX_DEADLINE_MS = 3_600_000
@@ -20,7 +21,7 @@
 
 
 def validate_head(scope: Scope, headers: Headers) -> Failure | None:
-    """Return why a request is rejected before its body is read, as `REQUEST_INVALID`, or None."""
+    """Return the `REQUEST_INVALID` failure of an invalid head, or None if the head is valid."""
     names = [name for name, _ in headers]
     if CONTENT_LENGTH in names and b"transfer-encoding" in names:
         return Failure(ResultCode.REQUEST_INVALID, "the request has two lengths")
@@ -40,19 +41,19 @@
 
 
 def head_bytes(scope: Scope, headers: Headers) -> int:
-    """Return about how many bytes the head of a request had."""
+    """Return the approximate size of a request's head, in bytes."""
     line = len(scope["raw_path"]) + len(scope["query_string"])
     return line + sum(len(name) + len(value) + 4 for name, value in headers)
 
 
 def host_name(headers: Headers) -> str:
-    """Return the host without its port, in lower case."""
+    """Return the `Host` header without the port, in lower case."""
     host = (find_header(headers, b"host") or b"").decode("latin-1")
     return (host.rpartition(":")[0] or host).lower()
 
 
 def client_wait_ns(headers: Headers) -> int:
-    """Return how long the client waits, less the time that its answer needs on the way."""
+    """Return how long the client waits, in nanoseconds, less `CLIENT_MARGIN_NS` for the transfer of the answer."""
     deadline = find_header(headers, DEADLINE)
     wait_ms = MAX_DEADLINE_MS if deadline is None else min(int(float(deadline)), MAX_DEADLINE_MS)
     return max(0, wait_ms * MILLISECOND - CLIENT_MARGIN_NS)
--- a/canvasbeam/data_plane/request_table.py
+++ b/canvasbeam/data_plane/request_table.py
@@ -1,9 +1,9 @@
-"""The open requests of clients: the deadline of each, and this node's own answers.
+"""The open requests of clients: the deadline of each, and the answers that this node generates itself.
 
-`RequestTable` owns the entries and their timers. It does not know the dispatcher, and sends nothing to workers.
+`RequestTable` owns the entries and their timers. It does not depend on the dispatcher, and sends nothing to workers.
 
-A 503 is a promise that the request has not run and never will. It is given only where no attempt was written, and after
-everything that could still be written has been stopped.
+A 503 guarantees that the request has not run and never will. A 503 is therefore sent only if no attempt was written to
+a worker that may have run the request, and only after every attempt that could still be written has been stopped.
 """
 
 from __future__ import annotations
@@ -20,15 +20,16 @@
 
 log = get_logger(__name__)
 
-# The worker's own answer at the deadline is waited for so long after it, as far as the client waits.
+# If a worker may still be running a request at the deadline, the node waits this much longer for the worker's answer,
+# but not longer than the client waits.
 WORKER_ANSWER_GRACE_NS = 150 * MILLISECOND
 
 
 class RequestTable:
-    """The requests without their complete answer.
+    """The requests that have no complete answer yet.
 
-    `stop_dispatches` stops everything that is in flight for an entry, `start` starts a task, and `on_closed` is called
-    once for each request, after its end.
+    `stop_dispatches` stops all attempts in flight for an entry, `start` starts a task, and `on_closed` is called once
+    for each request, after the request has ended.
     """
 
     def __init__(
@@ -53,16 +54,16 @@
         return tuple(self._entries)
 
     def entry(self, request: ClientRequest) -> OpenRequest | None:
-        """Return what is kept with a request, or None where it is not open."""
+        """Return the entry of a request, or None if the request is not open."""
         return self._entries.get(request)
 
     def open(self, request: ClientRequest) -> None:
-        """Take a request, which is answered at its deadline at the latest."""
+        """Add a request, and start the timer that fails the request at its deadline."""
         delay_s = (request.deadline_ns - self._now_ns()) / SECOND
         self._entries[request] = OpenRequest(self._loop.call_later(delay_s, self._on_deadline, request))
 
     def close(self, request: ClientRequest) -> None:
-        """Forget a request to which nothing more is owed."""
+        """Remove a request that needs no further answer, and stop its attempts."""
         entry = self._entries.pop(request, None)
         if entry is not None:
             entry.timer.cancel()
@@ -70,7 +71,7 @@
             self._on_closed(request)
 
     def fail(self, request: ClientRequest, retry_after_ns: int = DEFAULT_RETRY_AFTER_NS) -> None:
-        """End a request that no worker answers: with a promise where it is true, else with what is known."""
+        """Answer a request that no worker answered: 503 only if it has not run, else a worker's failure, 504 or 502."""
         entry = self._entries.get(request)
         if entry is None:
             return
@@ -88,7 +89,7 @@
     def answer_locally(
         self, request: ClientRequest, code: ResultCode, reason: str, retry_after_ns: int = DEFAULT_RETRY_AFTER_NS
     ) -> None:
-        """End a request with this node's own answer, or by a close where a part of an answer is out."""
+        """Answer a request locally, or close the client's connection if a part of another answer was already sent."""
         entry = self._entries.get(request)
         if entry is None:
             return
@@ -116,7 +117,7 @@
         self.close(request)
 
     def _on_deadline(self, request: ClientRequest) -> None:
-        """Fail a request past its deadline; a worker at work gets a moment for its own answer, or a stream its end."""
+        """Fail a request at its deadline; a worker has `WORKER_ANSWER_GRACE_NS` more to answer or end a stream."""
         entry = self._entries.get(request)
         if entry is None:
             return
@@ -129,5 +130,5 @@
 
 
 def _is_written(entry: OpenRequest) -> bool:
-    """Return whether a worker may be at work on a request."""
+    """Return True if a worker may be running the request."""
     return any(attempt.written for attempt in entry.attempts_in_flight())
--- a/canvasbeam/data_plane/requests.py
+++ b/canvasbeam/data_plane/requests.py
@@ -1,7 +1,7 @@
-"""Requests of clients and the answers to them, as the parts of the data plane hand them to each other.
+"""Types for the requests of clients and the answers to these requests, as the modules of the data plane share them.
 
-`ClientAnswer` owns how far the one answer to a client is; no other module writes to a client's connection. Nothing here
-decides what a client is answered.
+`ClientAnswer` owns the state of the only answer to a request; no other module writes to a client's connection. Other
+modules decide the content of an answer.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from canvasbeam.units import SECOND
 
 if TYPE_CHECKING:
-    # Not at run time: imported here, early, the libraries of the server raise the peak of memory at the start by 2 MB.
+    # For type checking only, because importing the HTTP server this early raises the peak memory at startup by 2 MB.
     from canvasbeam.runtime.http_server import Send
 
-DEFAULT_RETRY_AFTER_NS = SECOND // 2
+DEFAULT_RETRY_AFTER_NS = SECOND // 2  # the `Retry-After` of a 503 when the dispatcher gives no advice
 
 STATUS_OF_CODE = {
     ResultCode.REQUEST_INVALID: 400,
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One complete answer."""
+    """One complete HTTP answer."""
 
     status: int
     headers: Headers
@@ -48,9 +48,10 @@
 
 
 def local_answer(failure: Failure, retry_after_ns: int = DEFAULT_RETRY_AFTER_NS, close: bool = False) -> Answer:
-    """Return this node's own answer to a request that no worker answered.
+    """Return the answer that this node generates for a request without an answer from a worker.
 
-    Only a failure that promises that the request has not run and never will becomes a 503, with `Retry-After`.
+    The status is 503, with `Retry-After`, only for a failure that guarantees that the request has not run and never
+    will. `close` adds `Connection: close`.
     """
     status = STATUS_OF_CODE[failure.code]
     body = json.dumps({"code": int(failure.code), "reason": failure.reason}).encode()
@@ -69,12 +70,12 @@
 
 
 class AnswerState(Enum):
-    """How far the answer to a client is."""
+    """The state of the answer to a client's request."""
 
     WAITING = auto()
     STREAMING = auto()
     COMPLETE = auto()
-    ABORTED = auto()  # closed by this side before its end
+    ABORTED = auto()  # this node closed the connection before the answer was complete
     CLIENT_DISCONNECTED = auto()
 
 
@@ -93,7 +94,7 @@
 
 
 class ClientAnswer:
-    """The one answer to a client's request, written to its connection."""
+    """Writes the only answer to a client's request to the client's connection."""
 
     def __init__(self, send: Send, abort: Callable[[], None]) -> None:
         self._send = send
@@ -102,49 +103,49 @@
 
     @property
     def open(self) -> bool:
-        """Whether the client still waits for the answer or for its end."""
+        """True while the client still waits for the answer or for the rest of the answer."""
         return bool(_NEXT_STATES[self.state])
 
     def _enter(self, state: AnswerState) -> bool:
-        """Change the state; return False where `_NEXT_STATES` does not permit it."""
+        """Change the state; return False, and change nothing, if `_NEXT_STATES` does not permit the transition."""
         if state not in _NEXT_STATES[self.state]:
             return False
         self.state = state
         return True
 
     async def send_complete(self, answer: Answer) -> None:
-        """Write the complete answer, where nothing was written before."""
+        """Write a complete answer, unless an answer has already begun."""
         if self.state is AnswerState.WAITING and self._enter(AnswerState.COMPLETE):
             await send_answer(self._send, answer)
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Write the head of an answer whose body comes in chunks."""
+        """Write the head of an answer whose body is streamed in chunks."""
         if self._enter(AnswerState.STREAMING):
             await self._send({"type": "http.response.start", "status": status, "headers": headers})
 
     async def send_chunk(self, data: bytes) -> None:
-        """Write a chunk of the body."""
+        """Write a chunk of the body of a streamed answer."""
         if self.state is AnswerState.STREAMING:
             await self._send({"type": "http.response.body", "body": data, "more_body": True})
 
     async def finish(self) -> None:
-        """Write the end of the body."""
+        """Write the end of the body of a streamed answer."""
         if self.state is AnswerState.STREAMING and self._enter(AnswerState.COMPLETE):
             await self._send({"type": "http.response.body", "body": b"", "more_body": False})
 
     def abort(self) -> None:
-        """Close the client's connection, so that the client sees that the answer is not complete."""
+        """Close the client's connection, so that the client detects that the answer is incomplete."""
         if self._enter(AnswerState.ABORTED):
             self._abort()
 
     def client_disconnected(self) -> None:
-        """Note that the client closed its connection."""
+        """Record that the client closed its connection."""
         self._enter(AnswerState.CLIENT_DISCONNECTED)
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """One request of a client that was read completely and has a route."""
+    """One client request that was read completely and has a route."""
 
     identity: bytes
     method: bytes
@@ -155,15 +156,15 @@
     service: str
     arrived_ns: int
     deadline_ns: int
-    client_deadline_ns: int  # when the client itself no longer waits
+    client_deadline_ns: int  # when the client stops waiting, less a margin for the transfer of the answer
     answer: ClientAnswer
-    attempts_written: int = 0  # attempts of which bytes were, or are about to be, written to a worker
-    may_have_run: bool = False
-    worker_failure: Answer | None = None  # a failure that a worker answered, to pass on if nothing better comes
-    last_event_id: bytes | None = None  # of the last event passed on to the client
-    local_code: ResultCode = ResultCode.OK  # of this node's own answer, where it gave one
-    worker: str = ""  # of the last attempt
-    ring: Ring = Ring.NONE  # of that worker
+    attempts_written: int = 0  # attempts that were written, or are about to be written, to a worker
+    may_have_run: bool = False  # True if a worker may have run the request
+    worker_failure: Answer | None = None  # last failure from a worker; forwarded if no other attempt succeeds
+    last_event_id: bytes | None = None  # id of the last stream event that was forwarded to the client
+    local_code: ResultCode = ResultCode.OK  # code of the answer that this node generated; else OK
+    worker: str = ""  # worker of the last attempt
+    ring: Ring = Ring.NONE  # locality (own or other region) of the worker of the last attempt
     times: RequestTimes = field(init=False)
 
     def __post_init__(self) -> None:
@@ -171,10 +172,10 @@
 
     @property
     def request_class(self) -> str:
-        """The name of the dispatcher's class for this request."""
+        """The name of the dispatcher's request class for this request."""
         return request_class_name(self.route.name, self.service)
 
 
 def request_class_name(route: str, service: str) -> str:
-    """Return the name of the dispatcher's class for the requests of a route to one of its services."""
+    """Return the name of the dispatcher's request class for a route and one of its services."""
     return f"{route}/{service}"
--- a/canvasbeam/data_plane/routes.py
+++ b/canvasbeam/data_plane/routes.py
@@ -1,8 +1,8 @@
 """Routes and services of a configuration as typed values, and the choice of the route for a request.
 
-This is the one place that translates the words of configuration files (`retries`, `target_ms`, `gap_aim_ms`,
-`max_conns`) into the code's. Configurations were validated by the control plane; an entry is parsed when it
-is first asked for, and kept while it stays the same.
+Only this module maps the keys of configuration files (`retries`, `target_ms`, `gap_aim_ms`, `max_conns`) to the names
+in the code. The control plane has validated the configurations. An entry is parsed at its first use, and the parsed
+value is reused while the entry is unchanged.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class RouteKind(Enum):
-    """What may be done with the requests of a route. The values are the configuration's words."""
+    """The kind of a route, which decides on retries and streaming. The values are those of `kind` in configurations."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One of the services among which a route's requests are split."""
+    """One of the services among which the requests of a route are split, with its relative weight."""
 
     service: str
     weight: float
@@ -48,8 +48,9 @@
 class Route:
     """One route of the configuration.
 
-    `latency_target_ns` is from the arrival to the first answer, `event_gap_target_ns` between the events of a stream
-    (0: none). `max_attempts` counts all attempts at workers, and is at least 1. A greater `priority` is less urgent.
+    `latency_target_ns` is the target from the arrival of a request to its answer or the first event of its stream,
+    `event_gap_target_ns` the target between two events of a stream (0: none). `max_attempts` counts all attempts at
+    workers, and is at least 1. A greater `priority` is less urgent.
     """
 
     name: str
@@ -67,16 +68,16 @@
 
     @property
     def streams(self) -> bool:
-        """Whether an answer is a series of events."""
+        """True if the answers of the route are streams of events."""
         return self.kind is RouteKind.STREAMING
 
     @property
     def idempotent(self) -> bool:
-        """Whether a request may run more than once."""
+        """True if a request of the route may run more than once."""
         return self.kind is RouteKind.SAFE or (self.streams and self.resume)
 
     def service_at(self, point: float) -> str:
-        """Return the service at a point in [0, 1) of the line on which each service covers its weight."""
+        """Return the service at `point`; the services divide the interval [0, 1) in proportion to their weights."""
         remaining = point * sum(part.weight for part in self.split)
         for part in self.split:
             remaining -= part.weight
@@ -86,11 +87,11 @@
 
 
 class SplitSequence:
-    """Chooses the services of each route's requests by their weights, evenly also in small numbers.
+    """Chooses a service for each request by the weights of its route; the shares are also even for few requests.
 
     The points of a route's requests are an additive recurrence with the golden ratio, a low-discrepancy sequence
-    (Kuipers, Niederreiter, "Uniform Distribution of Sequences", 1974, chapter 2.3). Each process begins at a random
-    point, so that all of them together keep the weights as well.
+    (Kuipers, Niederreiter, "Uniform Distribution of Sequences", 1974, chapter 2.3). Each process starts at a random
+    point, so that the requests of all processes together follow the weights as well.
     """
 
     def __init__(self, generator: random.Random) -> None:
@@ -98,7 +99,7 @@
         self._points: dict[tuple[str, str], float] = {}
 
     def next_service(self, route: Route) -> str:
-        """Return the service of a route's next request."""
+        """Return the service for the next request of a route."""
         if len(route.split) == 1:
             return route.split[0].service
         key = (route.host, route.prefix)
@@ -110,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """What the configuration tells of the workers of one service."""
+    """The settings of the configuration for the workers of one service."""
 
     name: str
     health_check: str = "/healthz"
@@ -121,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What a client may send and how long it may take."""
+    """Limits on the size of a client's request, and on the time that the client may take to send the request."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 * 1024 * 1024
@@ -130,10 +131,11 @@
 
 
 class Configuration:
-    """One whole configuration, ready for look-ups.
+    """One complete configuration, with lookup of routes.
 
-    A route is read when a request asks for it first: of hundreds only a few are asked for, and a configuration that
-    differs from the one before in few routes is adopted at that cost.
+    A route is parsed when the first request needs it, because requests use only a few of hundreds of routes. The routes
+    parsed from unchanged entries are taken over from the previous configuration, so the cost of adopting a
+    configuration depends on the number of changed routes.
     """
 
     def __init__(self, document: Document, previous: Configuration | None = None) -> None:
@@ -148,12 +150,12 @@
 
     @property
     def routes(self) -> tuple[Route, ...]:
-        """All routes."""
+        """All routes of the configuration."""
         keys = keys_of(self._document, ROUTES)
         return tuple(route for route in map(self._route, keys) if route is not None)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of this host with the longest prefix that begins the path, or None."""
+        """Return the route of this host with the longest prefix of the path, or None; prefixes end with `/`."""
         end = path.rfind("/")
         while end >= 0:
             route = self.route_at(host, path[: end + 1])
@@ -163,7 +165,7 @@
         return None
 
     def route_at(self, host: str, prefix: str) -> Route | None:
-        """Return the route of this host and exactly this prefix, or None."""
+        """Return the route with exactly this host and prefix, or None."""
         return self._route(route_key(host, prefix))
 
     def _route(self, key: str) -> Route | None:
@@ -175,7 +177,7 @@
         return route
 
     def _keep_routes(self, previous: Configuration) -> None:
-        """Keep the routes that were read from entries that are still the same."""
+        """Take over the parsed routes of the previous configuration whose entries are unchanged."""
         old, new = previous._document.entries, self._document.entries
         self._routes = {key: route for key, route in previous._routes.items() if new.get(key) == old.get(key)}
 
@@ -204,7 +206,7 @@
 
 
 def _parse_kind(text: object) -> RouteKind:
-    """Return the kind of this name; one that is not known is treated as the one that permits least."""
+    """Return the route kind of this name; an unknown name gives `UNSAFE`, the most restrictive kind."""
     try:
         return RouteKind(text)
     except ValueError:
--- a/canvasbeam/data_plane/servers.py
+++ b/canvasbeam/data_plane/servers.py
@@ -1,6 +1,6 @@
-"""The HTTP servers of a data-plane node: clients, readiness and, where an address is given, metrics.
+"""The HTTP servers of a data-plane node: for clients, for readiness checks and, if an address is set, for metrics.
 
-`NodeServers` owns them and the order of their start. The order of the end is that of `DataPlane.stop`.
+`NodeServers` owns the servers and the order in which they start. `DataPlane.stop` defines the order of shutdown.
 """
 
 from __future__ import annotations
@@ -11,14 +11,15 @@
 from canvasbeam.runtime.listeners import Listeners
 from canvasbeam.runtime.settings import Address, ProcessSettings
 
-CLIENT_SHARE_OF_DESCRIPTORS = 0.65  # of all; the rest is for workers, other nodes and files
-# A connection keeps the limit of the parser that it was opened with. The configuration's own limit, which may be raised
-# later or not be known yet, is held by `Ingress`.
+CLIENT_SHARE_OF_DESCRIPTORS = 0.65  # share of the file descriptors; the rest is for workers, other nodes and files
+# Minimum of the HTTP parser's limit on the request head. A connection keeps the parser limit with which the connection
+# was opened, while the configured limit may be unknown at that time or be raised later; `Ingress` enforces the
+# configured limit.
 MIN_PARSER_HEADER_BYTES = 65536
 
 
 class NodeServers:
-    """The servers of one node."""
+    """The HTTP servers of one data-plane node."""
 
     def __init__(
         self,
@@ -36,7 +37,7 @@
         self._metrics = HttpServer(metrics, metrics_address) if metrics_address is not None else None
 
     async def start(self) -> Failure | None:
-        """Listen at all addresses; return the first failure."""
+        """Start all servers; return the first failure, or None."""
         for server in (self._readiness, self.front, *self._optional_servers()):
             failure = await server.start()
             if failure is not None:
@@ -44,7 +45,7 @@
         return None
 
     def apply_client_limits(self, limits: ClientLimits, max_descriptors: int) -> None:
-        """Use the limits of a configuration for the connections of clients."""
+        """Apply the limits of a configuration to client connections; `max_descriptors` is the process limit."""
         self.front.apply_limits(
             HttpLimits(
                 max_header_bytes=max(MIN_PARSER_HEADER_BYTES, limits.max_header_bytes),
@@ -55,7 +56,7 @@
         )
 
     async def close(self) -> None:
-        """Close all servers, that of the clients first."""
+        """Close all servers, beginning with the server for clients."""
         await self.front.close()
         for server in (self._readiness, *self._optional_servers()):
             await server.close()
--- a/canvasbeam/data_plane/shutdown.py
+++ b/canvasbeam/data_plane/shutdown.py
@@ -1,8 +1,8 @@
-"""The graceful shutdown of a data-plane process: what is still taken, by when it is answered, when the process exits.
+"""The graceful shutdown of a data-plane process: which requests are accepted, their deadlines, and the time of exit.
 
-The phases are those of `canvasbeam/runtime/planned_shutdown.py`, which owns them. New connections are accepted until
-the last call, since clients keep addresses for a while; the process exits earlier once clients have moved and no
-request is open. What a rejected client is answered is decided by `Ingress`.
+`canvasbeam/runtime/planned_shutdown.py` defines and owns the phases. New connections are accepted until the last call,
+because clients cache addresses for a while. The process exits earlier once clients use other nodes and no request is
+open. `Ingress` answers the requests that are rejected.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 from canvasbeam.runtime.settings import ProcessSettings
 from canvasbeam.units import MILLISECOND, SECOND
 
-LAST_ANSWER_MARGIN_S = 0.5  # before the platform kills the process everything has its answer
-LEAVE_MARGIN_S = 0.25
-ASSUMED_TOKEN_NS = 30 * MILLISECOND  # assumed for a token of an answer before one was seen
-ASSUMED_SERVICE_TIME_S = 0.5  # assumed for a request before one of its kind was served
-# A request is taken only while so many of the recent ones of its kind would still have been answered: one that is cut
-# at the end is lost, where one that is rejected is answered at another node.
+LAST_ANSWER_MARGIN_S = 0.5  # every request is answered this long before the platform kills the process
+LEAVE_MARGIN_S = 0.25  # the process exits this long before the platform kills it
+ASSUMED_TOKEN_NS = 30 * MILLISECOND  # assumed time per token of an answer until a stream was measured
+ASSUMED_SERVICE_TIME_S = 0.5  # assumed service time of a route kind until one of its requests was served
+# During shutdown a request is accepted only if the time left is at least this quantile of the recent service times of
+# its route kind, because a request that is cut off at the end is lost, while another node answers a rejected request.
 SERVICE_TIME_QUANTILE = 0.98
-MAX_WINDOW_SHARE = 0.6  # of the grace time, at most, for clients to move away
-QUIET_PERIOD_S = 1.0  # without a new request clients are taken to have moved
+MAX_WINDOW_SHARE = 0.6  # maximum share of the grace period during which clients move to other nodes
+QUIET_PERIOD_S = 1.0  # after this time without a new request, clients are assumed to use other nodes
 CHECK_INTERVAL_S = 0.1
-# The client of a stream that comes this long after the signal knew of no other node: it must not be cut.
+# A client that opens a stream this long after the shutdown signal knew of no other node, so its stream must not be cut.
 LATE_STREAM_NS = 3 * SECOND
-LATE_STREAM_MARGIN = 1.5  # what must be left for it, in times that most streams of its length need
+LATE_STREAM_MARGIN = 1.5  # a late stream is accepted only if this multiple of its expected duration is left
 
 
 def shutdown_times(settings: ProcessSettings) -> ShutdownTimes:
-    """Return the times of the end, from the deployment's bounds."""
+    """Return the times of the shutdown phases, computed from the time bounds of the deployment."""
     grace_s = settings.bounds.grace_s
     last_answer = max(0.2 * grace_s, grace_s - LAST_ANSWER_MARGIN_S)
     window = min(settings.bounds.ttl_max_s + 0.5, MAX_WINDOW_SHARE * grace_s, 0.9 * last_answer)
@@ -51,7 +51,7 @@
 
 
 class GracefulShutdown:
-    """Decides which requests may still be taken, and ends the process in order. Times come from `now_ns`."""
+    """Decides which requests are accepted during shutdown, and runs the shutdown. Times come from `now_ns`."""
 
     def __init__(self, settings: ProcessSettings, now_ns: Callable[[], int]) -> None:
         self._phases = PlannedShutdown(shutdown_times(settings), [kind.value for kind in RouteKind])
@@ -61,17 +61,17 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether the process ends."""
+        """True once the shutdown has begun."""
         return self._phases.phase(self._now_ns()) is not Phase.SERVING
 
     def deadline_ns(self, request: ClientRequest) -> int | None:
-        """Return by when a request that came now must be answered, or None where that could not be before the end."""
+        """Return the deadline of a request that arrives now, or None if it cannot be answered before the exit."""
         now = self._now_ns()
         deadline_ns = self._phases.deadline(now, request.route.kind.value, request.deadline_ns)
         if deadline_ns is None or not self.has_begun:
             return deadline_ns
         if request.route.streams and now + self._stream_ns(request, now) > deadline_ns:
-            return None  # it would be cut; its client finds another node at once
+            return None  # the stream would be cut; after a rejection its client uses another node at once
         self._last_request_ns = now
         return deadline_ns
 
@@ -80,14 +80,14 @@
         return margin * self._stream_times.expected_ns(request.route.name, _tokens_out(request))
 
     def record_served(self, request: ClientRequest) -> None:
-        """Learn the service time of a request that has its answer from a worker."""
+        """Record the service time of a request that a worker has answered."""
         span_ns = self._now_ns() - request.arrived_ns
         self._phases.record_service_time(request.route.kind.value, span_ns)
         if request.route.streams:
             self._stream_times.learn(request.route.name, span_ns, _tokens_out(request))
 
     async def run(self, server: HttpServer, router: RequestRouter) -> None:
-        """End in order; return when the process may exit."""
+        """Run the shutdown; return when the process may exit."""
         self._phases.begin(self._now_ns())
         server.announce_close()
         window, last_call, last_answer, _ = self._phases.phase_times()
@@ -107,6 +107,6 @@
 
 
 def _tokens_out(request: ClientRequest) -> int:
-    """Return the most tokens that a request may be answered with; 1 where it does not say."""
+    """Return the maximum number of tokens in the answer to a request; 1 if its headers give no maximum."""
     prompt = read_prompt(request)
     return prompt.max_tokens_out if prompt is not None else 1
--- a/canvasbeam/data_plane/startup.py
+++ b/canvasbeam/data_plane/startup.py
@@ -1,14 +1,14 @@
-"""Decide when a node that has just started holds a configuration that is new enough to serve by.
+"""Decide when a node that has just started has a configuration that is recent enough to serve clients.
 
-A control node that is itself behind may answer first, with an older configuration. A node in contact holds whatever a
-majority of the control nodes held when it was asked (`canvasbeam.leases.contact`), so a node waits for its first
-contact. Where there is none to be had, as in a region that is cut off, it serves after a while by what it holds, unless
-it knows of something newer.
+The first control node that answers may be behind and send an old configuration. A node with a contact lease has at
+least the versions that a majority of the control nodes stored at the time of the request (`canvasbeam.leases.contact`),
+so a starting node waits for its first contact lease. A node in a partitioned region cannot get a lease. Such a node
+serves after `MAX_CONTACT_WAIT_NS` with the configuration that it has, unless it knows of a newer configuration.
 
 | state | from | to |
 | --- | --- | --- |
-| waiting | the start | done: in contact, or without it for `MAX_CONTACT_WAIT_NS`, and nothing newer known |
-| done | | none: what is lost or changes later does not make a node that serves unready |
+| waiting | process start | done: lease in force or `MAX_CONTACT_WAIT_NS` over, and no newer configuration known |
+| done | | none: a lease lost later or a newer configuration does not make a serving node unready |
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 from canvasbeam.units import SECOND
 
-# From its first configuration on, a node waits for its first contact no longer than this.
+# Maximum time that a starting node waits for its first contact lease, counted from its first configuration.
 MAX_CONTACT_WAIT_NS = 2 * SECOND
 
 
 class StartupState(Enum):
-    """Whether the node may still hold a configuration older than one that it should have been told of."""
+    """WAITING while the node may still have an outdated configuration; DONE afterwards."""
 
     WAITING = "waiting"
     DONE = "done"
 
 
 class StartupCheck:
-    """The wait of one node for a configuration that is new enough."""
+    """Tracks whether a starting node has a configuration that is recent enough to serve clients."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         has_contact: Callable[[], bool],
         is_behind: Callable[[], bool],
     ) -> None:
-        """Judge by these questions; `clock` tells nanoseconds of a monotonic clock."""
+        """Store the callbacks that report the state of the node; `clock` returns monotonic nanoseconds."""
         self._clock = clock
         self._has_configuration = has_configuration
         self._has_contact = has_contact
@@ -49,13 +49,13 @@
         self._state = StartupState.WAITING
 
     def is_done(self) -> bool:
-        """Return whether the node may serve by the configuration that it holds."""
+        """Return True if the node may serve clients with its current configuration."""
         if self._state is StartupState.WAITING and self._may_end():
             self._state = StartupState.DONE
         return self._state is StartupState.DONE
 
     def _may_end(self) -> bool:
-        """Return whether the wait is over."""
+        """Return True if the conditions for the end of the wait are met."""
         if not self._has_configuration():
             return False
         now = self._clock()
