--- a/canvasbeam/data_plane/body_reader.py
+++ b/canvasbeam/data_plane/body_reader.py
@@ -34,18 +34,18 @@
         The failures are `REQUEST_TOO_LARGE`, `OVERLOADED` and, after `wait_ns` nanoseconds, `REQUEST_INCOMPLETE`.
         Raise `ClientDisconnectedError` if the client closes its connection.
         """
-        announced = int(find_header(headers, CONTENT_LENGTH) or 0)
-        if announced > limit_bytes:
+        declared_bytes = int(find_header(headers, CONTENT_LENGTH) or 0)
+        if declared_bytes > limit_bytes:
             return _too_large(limit_bytes)
-        if not self._reservation.grow(REQUEST_OVERHEAD_BYTES + announced):
+        if not self._reservation.grow(REQUEST_OVERHEAD_BYTES + declared_bytes):
             return OVERLOADED
         try:
             async with asyncio.timeout(wait_ns / SECOND):
-                return await self._read_chunks(announced, limit_bytes)
+                return await self._read_chunks(declared_bytes, limit_bytes)
         except TimeoutError:
             return Failure(ResultCode.REQUEST_INCOMPLETE, "the body did not come in time")
 
-    async def _read_chunks(self, announced: int, limit_bytes: int) -> bytes | Failure:
+    async def _read_chunks(self, declared_bytes: int, limit_bytes: int) -> bytes | Failure:
         body = bytearray()
         while True:
             message = await self._receive()
@@ -55,7 +55,7 @@
             body += chunk
             if len(body) > limit_bytes:
                 return _too_large(limit_bytes)
-            if len(body) > announced and not self._reservation.grow(len(chunk)):
+            if len(body) > declared_bytes and not self._reservation.grow(len(chunk)):
                 return OVERLOADED
             if not message.get("more_body", False):
                 return bytes(body)
--- a/canvasbeam/data_plane/configuration_view.py
+++ b/canvasbeam/data_plane/configuration_view.py
@@ -52,7 +52,7 @@
     def _on_items(self, items: Sequence[Item]) -> None:
         for item in items:
             if item.kind is ItemKind.EVACUATIONS:
-                self._take_evacuations(item)
+                self._adopt_evacuations(item)
             elif item.kind is ItemKind.CONFIGURATION and not item.deleted:
                 self._take_configuration(item)
 
@@ -69,7 +69,7 @@
         for listener in self._listeners:
             listener(configuration)
 
-    def _take_evacuations(self, item: Item) -> None:
+    def _adopt_evacuations(self, item: Item) -> None:
         zones = json.loads(item.payload) if item.payload else []
         if isinstance(zones, dict):
             zones = zones.get("zones", [])
--- a/canvasbeam/data_plane/ingress.py
+++ b/canvasbeam/data_plane/ingress.py
@@ -147,8 +147,8 @@
     def _body_wait_ns(self, scope: Scope, headers: Headers) -> int:
         """Return how long to wait for the body, in nanoseconds: an answer after the route's timeout is of no use."""
         route = self._find_route(scope, headers)
-        longest_ns = MAX_BODY_WAIT_NS if route is None else min(MAX_BODY_WAIT_NS, route.timeout_ns)
-        return min(longest_ns, client_wait_ns(headers))
+        max_wait_ns = MAX_BODY_WAIT_NS if route is None else min(MAX_BODY_WAIT_NS, route.timeout_ns)
+        return min(max_wait_ns, client_wait_ns(headers))
 
     def _find_route(self, scope: Scope, headers: Headers) -> Route | None:
         """Return the route of a request in the current configuration, or None if no route matches."""
--- a/canvasbeam/data_plane/request_head.py
+++ b/canvasbeam/data_plane/request_head.py
@@ -17,7 +17,7 @@
 CLIENT_MARGIN_NS = 10 * MILLISECOND
 MAX_REQUEST_ID_BYTES = 256
 MAX_DEADLINE_MS = 3_600_000
-_DEADLINE_FORM = re.compile(rb"[0-9]{1,12}(\.[0-9]{0,9})?")
+_DEADLINE_PATTERN = re.compile(rb"[0-9]{1,12}(\.[0-9]{0,9})?")
 
 
 def validate_head(scope: Scope, headers: Headers) -> Failure | None:
@@ -35,7 +35,7 @@
     if not scope["raw_path"].startswith(b"/"):
         return Failure(ResultCode.REQUEST_INVALID, "the target must be a path")
     deadline = find_header(headers, DEADLINE)
-    if deadline is not None and _DEADLINE_FORM.fullmatch(deadline) is None:
+    if deadline is not None and _DEADLINE_PATTERN.fullmatch(deadline) is None:
         return Failure(ResultCode.REQUEST_INVALID, "X-Deadline must be a number of milliseconds")
     return None
 
--- a/canvasbeam/data_plane/requests.py
+++ b/canvasbeam/data_plane/requests.py
@@ -106,7 +106,7 @@
         """True while the client still waits for the answer or for the rest of the answer."""
         return bool(_NEXT_STATES[self.state])
 
-    def _enter(self, state: AnswerState) -> bool:
+    def _change_state(self, state: AnswerState) -> bool:
         """Change the state; return False, and change nothing, if `_NEXT_STATES` does not permit the transition."""
         if state not in _NEXT_STATES[self.state]:
             return False
@@ -115,12 +115,12 @@
 
     async def send_complete(self, answer: Answer) -> None:
         """Write a complete answer, unless an answer has already begun."""
-        if self.state is AnswerState.WAITING and self._enter(AnswerState.COMPLETE):
+        if self.state is AnswerState.WAITING and self._change_state(AnswerState.COMPLETE):
             await send_answer(self._send, answer)
 
     async def begin(self, status: int, headers: Headers) -> None:
         """Write the head of an answer whose body is streamed in chunks."""
-        if self._enter(AnswerState.STREAMING):
+        if self._change_state(AnswerState.STREAMING):
             await self._send({"type": "http.response.start", "status": status, "headers": headers})
 
     async def send_chunk(self, data: bytes) -> None:
@@ -130,17 +130,17 @@
 
     async def finish(self) -> None:
         """Write the end of the body of a streamed answer."""
-        if self.state is AnswerState.STREAMING and self._enter(AnswerState.COMPLETE):
+        if self.state is AnswerState.STREAMING and self._change_state(AnswerState.COMPLETE):
             await self._send({"type": "http.response.body", "body": b"", "more_body": False})
 
     def abort(self) -> None:
         """Close the client's connection, so that the client detects that the answer is incomplete."""
-        if self._enter(AnswerState.ABORTED):
+        if self._change_state(AnswerState.ABORTED):
             self._abort()
 
     def client_disconnected(self) -> None:
         """Record that the client closed its connection."""
-        self._enter(AnswerState.CLIENT_DISCONNECTED)
+        self._change_state(AnswerState.CLIENT_DISCONNECTED)
 
 
 @dataclass(slots=True, eq=False)
--- a/canvasbeam/data_plane/router.py
+++ b/canvasbeam/data_plane/router.py
@@ -85,7 +85,7 @@
             make_dispatcher,
             now_ns,
             carry_out=self._carry_out,
-            on_failure=self._fail_waiting,
+            on_failure=self._fail_unanswered,
             initial_events=self._initial_events,
         )
         self._attempts = AttemptRunner(
@@ -181,9 +181,9 @@
             case CancelAttempt(name, number):
                 self._cancel_attempt(name, number)
             case RejectRequest(name, retry_after_ns):
-                self._give_up(name, min(retry_after_ns, MAX_RETRY_AFTER_NS) or DEFAULT_RETRY_AFTER_NS)
+                self._close_dispatch(name, min(retry_after_ns, MAX_RETRY_AFTER_NS) or DEFAULT_RETRY_AFTER_NS)
             case FailRequest(name):
-                self._give_up(name, DEFAULT_RETRY_AFTER_NS)
+                self._close_dispatch(name, DEFAULT_RETRY_AFTER_NS)
             case SetTimer():
                 self._driver.set_timer(action)
             case CheckHealth(worker):
@@ -207,7 +207,7 @@
         if dispatch is not None and number < len(dispatch.attempts) and not dispatch.awaits_worker:
             self._attempts.stop(dispatch.attempts[number])
 
-    def _give_up(self, name: str, retry_after_ns: int) -> None:
+    def _close_dispatch(self, name: str, retry_after_ns: int) -> None:
         """Fail a request that the dispatcher has ended; near its deadline, wait for a worker that may still answer."""
         dispatch = self._dispatches.get(name)
         if dispatch is None:
@@ -231,7 +231,7 @@
 
     # --- restart of a failed dispatcher -----------------------------------------------------------
 
-    def _fail_waiting(self) -> None:
+    def _fail_unanswered(self) -> None:
         """Fail all requests whose answer has not begun, because a new dispatcher has no record of these requests."""
         for request in self._requests.requests():
             if request.answer.state is AnswerState.WAITING:
--- a/canvasbeam/data_plane/routes.py
+++ b/canvasbeam/data_plane/routes.py
@@ -146,7 +146,7 @@
         self._document = document
         self._routes: dict[str, Route] = {}
         if previous is not None:
-            self._keep_routes(previous)
+            self._reuse_routes(previous)
 
     @property
     def routes(self) -> tuple[Route, ...]:
@@ -176,7 +176,7 @@
                 route = self._routes[key] = _parse_route(item)
         return route
 
-    def _keep_routes(self, previous: Configuration) -> None:
+    def _reuse_routes(self, previous: Configuration) -> None:
         """Take over the parsed routes of the previous configuration whose entries are unchanged."""
         old, new = previous._document.entries, self._document.entries
         self._routes = {key: route for key, route in previous._routes.items() if new.get(key) == old.get(key)}
--- a/canvasbeam/data_plane/servers.py
+++ b/canvasbeam/data_plane/servers.py
@@ -31,8 +31,8 @@
         metrics: App,
         metrics_address: Address | None,
     ) -> None:
-        first_limits = HttpLimits(max_header_bytes=MIN_PARSER_HEADER_BYTES)
-        self.front = HttpServer(ingress, settings.listen["front"], first_limits, listeners.get("front"))
+        initial_limits = HttpLimits(max_header_bytes=MIN_PARSER_HEADER_BYTES)
+        self.front = HttpServer(ingress, settings.listen["front"], initial_limits, listeners.get("front"))
         self._readiness = HttpServer(readiness, settings.listen["ready"])
         self._metrics = HttpServer(metrics, metrics_address) if metrics_address is not None else None
 
--- a/canvasbeam/data_plane/shutdown.py
+++ b/canvasbeam/data_plane/shutdown.py
@@ -38,13 +38,13 @@
 def shutdown_times(settings: ProcessSettings) -> ShutdownTimes:
     """Return the times of the shutdown phases, computed from the time bounds of the deployment."""
     grace_s = settings.bounds.grace_s
-    last_answer = max(0.2 * grace_s, grace_s - LAST_ANSWER_MARGIN_S)
-    window = min(settings.bounds.ttl_max_s + 0.5, MAX_WINDOW_SHARE * grace_s, 0.9 * last_answer)
-    leave = max(last_answer * 1.01, grace_s - LEAVE_MARGIN_S)
+    last_answer_s = max(0.2 * grace_s, grace_s - LAST_ANSWER_MARGIN_S)
+    window_s = min(settings.bounds.ttl_max_s + 0.5, MAX_WINDOW_SHARE * grace_s, 0.9 * last_answer_s)
+    leave_s = max(last_answer_s * 1.01, grace_s - LEAVE_MARGIN_S)
     return ShutdownTimes(
-        window=round(window * SECOND),
-        last_answer=round(last_answer * SECOND),
-        leave=round(leave * SECOND),
+        window=round(window_s * SECOND),
+        last_answer=round(last_answer_s * SECOND),
+        leave=round(leave_s * SECOND),
         assumed_service_time=round(ASSUMED_SERVICE_TIME_S * SECOND),
         quantile=SERVICE_TIME_QUANTILE,
     )
@@ -81,29 +81,29 @@
 
     def record_served(self, request: ClientRequest) -> None:
         """Record the service time of a request that a worker has answered."""
-        span_ns = self._now_ns() - request.arrived_ns
-        self._phases.record_service_time(request.route.kind.value, span_ns)
+        service_time_ns = self._now_ns() - request.arrived_ns
+        self._phases.record_service_time(request.route.kind.value, service_time_ns)
         if request.route.streams:
-            self._stream_times.learn(request.route.name, span_ns, _tokens_out(request))
+            self._stream_times.learn(request.route.name, service_time_ns, _tokens_out(request))
 
     async def run(self, server: HttpServer, router: RequestRouter) -> None:
         """Run the shutdown; return when the process may exit."""
         self._phases.begin(self._now_ns())
         server.announce_close()
-        window, last_call, last_answer, _ = self._phases.phase_times()
-        while not self._may_exit(window, router) and self._now_ns() < last_call:  # noqa: ASYNC110 - the clock decides too
+        window_end_ns, last_call_ns, last_answer_ns, _ = self._phases.phase_times()
+        while not self._may_exit(window_end_ns, router) and self._now_ns() < last_call_ns:  # noqa: ASYNC110 - has a deadline
             await asyncio.sleep(CHECK_INTERVAL_S)
         server.stop_accepting()
-        while router.open_requests and self._now_ns() < last_answer:  # noqa: ASYNC110 - the clock decides too
+        while router.open_requests and self._now_ns() < last_answer_ns:  # noqa: ASYNC110 - has a deadline
             await asyncio.sleep(CHECK_INTERVAL_S)
         router.end_all()
         remaining_s = (self._phases.phase_times()[-1] - self._now_ns()) / SECOND
         await server.drain(max(0.0, remaining_s))
 
-    def _may_exit(self, window: int, router: RequestRouter) -> bool:
+    def _may_exit(self, window_end_ns: int, router: RequestRouter) -> bool:
         now = self._now_ns()
         is_quiet = now - self._last_request_ns >= QUIET_PERIOD_S * SECOND
-        return now >= window and is_quiet and not router.open_requests
+        return now >= window_end_ns and is_quiet and not router.open_requests
 
 
 def _tokens_out(request: ClientRequest) -> int:
--- a/canvasbeam/data_plane/startup.py
+++ b/canvasbeam/data_plane/startup.py
@@ -45,21 +45,21 @@
         self._has_configuration = has_configuration
         self._has_contact = has_contact
         self._is_behind = is_behind
-        self._configured_at: int | None = None
+        self._configured_at_ns: int | None = None
         self._state = StartupState.WAITING
 
     def is_done(self) -> bool:
         """Return True if the node may serve clients with its current configuration."""
-        if self._state is StartupState.WAITING and self._may_end():
+        if self._state is StartupState.WAITING and self._is_wait_over():
             self._state = StartupState.DONE
         return self._state is StartupState.DONE
 
-    def _may_end(self) -> bool:
+    def _is_wait_over(self) -> bool:
         """Return True if the conditions for the end of the wait are met."""
         if not self._has_configuration():
             return False
         now = self._clock()
-        if self._configured_at is None:
-            self._configured_at = now
-        has_waited_long = now - self._configured_at >= MAX_CONTACT_WAIT_NS
+        if self._configured_at_ns is None:
+            self._configured_at_ns = now
+        has_waited_long = now - self._configured_at_ns >= MAX_CONTACT_WAIT_NS
         return (self._has_contact() or has_waited_long) and not self._is_behind()
