--- a/canvasbeam/data_plane/body_reader.py
+++ b/canvasbeam/data_plane/body_reader.py
@@ -1,6 +1,7 @@
-"""Reads the body of one request, within the limit of a body, the memory of all requests and a time.
+"""Read the body of one request within a size limit, the memory budget of all requests, and a timeout.
 
-It reserves memory before it reads and never releases it: `Ingress` does so when the request is over.
+`BodyReader` reserves memory before it reads and never releases the reservation; `Ingress` releases the reservation
+when the request is over.
 """
 
 from __future__ import annotations
@@ -17,33 +18,34 @@
 
 
 class ClientDisconnectedError(Exception):
-    """The client closed its connection before its request was read."""
+    """Raised when a client closes its connection before its request was read completely."""
 
 
 class BodyReader:
-    """Reads one body."""
+    """Reads the body of one request."""
 
     def __init__(self, receive: Receive, reservation: MemoryReservation) -> None:
         self._receive = receive
         self._reservation = reservation
 
     async def read(self, headers: Headers, limit_bytes: int, wait_ns: int) -> bytes | Failure:
-        """Return the complete body, or why it is rejected; raise `ClientDisconnectedError` where the client leaves.
+        """Return the complete body, or the failure with which the request is rejected.
 
-        The failures are `REQUEST_TOO_LARGE`, `OVERLOADED` and, after `wait_ns`, `REQUEST_INCOMPLETE`.
+        The failures are `REQUEST_TOO_LARGE`, `OVERLOADED` and, after `wait_ns` nanoseconds, `REQUEST_INCOMPLETE`.
+        Raise `ClientDisconnectedError` if the client closes its connection.
         """
-        announced = int(find_header(headers, CONTENT_LENGTH) or 0)
-        if announced > limit_bytes:
+        declared_bytes = int(find_header(headers, CONTENT_LENGTH) or 0)
+        if declared_bytes > limit_bytes:
             return _too_large(limit_bytes)
-        if not self._reservation.grow(REQUEST_OVERHEAD_BYTES + announced):
+        if not self._reservation.grow(REQUEST_OVERHEAD_BYTES + declared_bytes):
             return OVERLOADED
         try:
             async with asyncio.timeout(wait_ns / SECOND):
-                return await self._read_chunks(announced, limit_bytes)
+                return await self._read_chunks(declared_bytes, limit_bytes)
         except TimeoutError:
             return Failure(ResultCode.REQUEST_INCOMPLETE, "the body did not come in time")
 
-    async def _read_chunks(self, announced: int, limit_bytes: int) -> bytes | Failure:
+    async def _read_chunks(self, declared_bytes: int, limit_bytes: int) -> bytes | Failure:
         body = bytearray()
         while True:
             message = await self._receive()
@@ -53,7 +55,7 @@
             body += chunk
             if len(body) > limit_bytes:
                 return _too_large(limit_bytes)
-            if len(body) > announced and not self._reservation.grow(len(chunk)):
+            if len(body) > declared_bytes and not self._reservation.grow(len(chunk)):
                 return OVERLOADED
             if not message.get("more_body", False):
                 return bytes(body)
