--- a/canvasbeam/data_plane/configuration_view.py
+++ b/canvasbeam/data_plane/configuration_view.py
@@ -54,9 +54,9 @@
             if item.kind is ItemKind.EVACUATIONS:
                 self._adopt_evacuations(item)
             elif item.kind is ItemKind.CONFIGURATION and not item.deleted:
-                self._take_configuration(item)
+                self._adopt_configuration(item)
 
-    def _take_configuration(self, item: Item) -> None:
+    def _adopt_configuration(self, item: Item) -> None:
         try:
             document = item.document or document_of(json.loads(item.payload))
             configuration = Configuration(document, self.current)
--- a/tests/data_plane/test_later_sentences.py
+++ b/tests/data_plane/test_later_sentences.py
@@ -101,7 +101,7 @@
     async def main() -> None:
         data_plane = DataPlane(real_settings())
         assert data_plane._servers.front.limits.max_header_bytes >= 65536
-        data_plane._view._take_configuration(configuration_item(max_header_bytes=1000))
+        data_plane._view._adopt_configuration(configuration_item(max_header_bytes=1000))
         assert data_plane._servers.front.limits.max_header_bytes >= 65536
 
     asyncio.run(main())
