--- a/canvasbeam/data_plane/attempt_runner.py
+++ b/canvasbeam/data_plane/attempt_runner.py
@@ -196,4 +196,4 @@
         elapsed_ns = self._now_ns() - attempt.began_ns
         dispatch.closed |= final
         self._add_event(AttemptEnded(dispatch.name, attempt.number, attempt.worker, outcome, elapsed_ns, final))
-        self._dispatches.forget_if_over(dispatch)
+        self._dispatches.remove_if_finished(dispatch)
--- a/canvasbeam/data_plane/open_requests.py
+++ b/canvasbeam/data_plane/open_requests.py
@@ -81,7 +81,7 @@
         """Return all stored dispatches."""
         return tuple(self._by_name.values())
 
-    def forget_if_over(self, dispatch: Dispatch) -> None:
+    def remove_if_finished(self, dispatch: Dispatch) -> None:
         """Remove a dispatch if it is closed and has no attempt in flight."""
         if dispatch.closed and all(attempt.ended for attempt in dispatch.attempts):
             self._by_name.pop(dispatch.name, None)
--- a/canvasbeam/data_plane/router.py
+++ b/canvasbeam/data_plane/router.py
@@ -154,7 +154,7 @@
                 self._driver.add_event(ClientDisconnected(dispatch.name))
             for attempt in dispatch.attempts:
                 self._attempts.stop(attempt)
-            self._dispatches.forget_if_over(dispatch)
+            self._dispatches.remove_if_finished(dispatch)
 
     # --- updates from the item table --------------------------------------------------------------
 
