--- a/canvasbeam/data_plane/router.py
+++ b/canvasbeam/data_plane/router.py
@@ -113,7 +113,7 @@
         self._requests.open(request)
         self._dispatch(request)
 
-    def end_all(self) -> None:
+    def fail_all(self) -> None:
         """Answer all open requests with a failure, when the process exits."""
         for request in self._requests.requests():
             self._requests.fail(request)
--- a/canvasbeam/data_plane/shutdown.py
+++ b/canvasbeam/data_plane/shutdown.py
@@ -96,7 +96,7 @@
         server.stop_accepting()
         while router.open_requests and self._now_ns() < last_answer_ns:  # noqa: ASYNC110 - has a deadline
             await asyncio.sleep(CHECK_INTERVAL_S)
-        router.end_all()
+        router.fail_all()
         remaining_s = (self._phases.phase_times()[-1] - self._now_ns()) / SECOND
         await server.drain(max(0.0, remaining_s))
 
--- a/tests/data_plane/test_data_plane_requests.py
+++ b/tests/data_plane/test_data_plane_requests.py
@@ -366,7 +366,7 @@
         pool._idle.append(held)  # as after a whole exchange, at the very moment of the refusal
         held.idle_since_s = asyncio.get_running_loop().time()
         pool._wake_one()
-        data_plane.router.end_all()
+        data_plane.router.fail_all()
         assert (await client.response()).status == 503
         assert (await client.request("/unsafe/x", "id-2")).status == 200
         assert [request.identity for request in worker.received] == ["id-2"]
