--- a/canvasbeam/data_plane/attempt_runner.py
+++ b/canvasbeam/data_plane/attempt_runner.py
@@ -1,8 +1,8 @@
-"""The attempts: each is one exchange of a request with one worker, from its start to its outcome.
+"""Run attempts: an attempt is one exchange of a request with one worker, from its start to its outcome.
 
-`AttemptRunner` is the only one that writes requests to workers and changes attempts. Whether the rules permit an
-attempt is checked at the moment before its first byte, whatever the dispatcher asked for: the table of
-docs/design/hardening/calls.md. It places no request, and answers a client only with a worker's answer.
+Only `AttemptRunner` writes requests to workers and changes attempts. `AttemptRunner` checks the rules for an attempt
+(the table in docs/design/hardening/calls.md) immediately before the first byte is written, even if the dispatcher
+requested the attempt. `AttemptRunner` never chooses a worker, and sends a client only answers that a worker gave.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 
 log = get_logger(__name__)
 
-# A request is not written to a worker with less than this left until its deadline.
+# Minimum time until the deadline of a request for the request to be written to a worker.
 MIN_REMAINING_NS = 5 * MILLISECOND
 
 
 class AttemptRunner:
     """Starts, stops and ends attempts.
 
-    `add_event` takes the events for the dispatcher, `resume` a request whose stream goes on at another worker, and
-    `on_served` each request that a worker has answered.
+    `add_event` is called with each event for the dispatcher, `resume` with each request whose interrupted stream is to
+    be resumed at another worker, and `on_served` with each request that a worker has answered.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         self._on_served = on_served
 
     def start(self, dispatch: Dispatch, worker: str) -> None:
-        """Start an attempt; it ends at once as `MOOT` where the rules do not permit it."""
+        """Start an attempt; an attempt that the rules forbid ends at once with the outcome `MOOT`."""
         attempt = Attempt(dispatch, len(dispatch.attempts), worker, self._now_ns())
         dispatch.attempts.append(attempt)
         self._outcomes.record_attempt(attempt, self._endpoints.get(worker))
@@ -72,7 +72,7 @@
         attempt.task = self._tasks.start(self._run(attempt))
 
     def stop(self, attempt: Attempt) -> None:
-        """Stop an attempt; closing its connection stops the worker."""
+        """Cancel an attempt; the reset of the attempt's connection stops the worker's work on the request."""
         if attempt.ended:
             return
         written = attempt.written
@@ -85,14 +85,14 @@
         self._end(attempt, Outcome.CANCELLED if written else Outcome.MOOT)
 
     def stop_unwritten(self) -> None:
-        """Stop the attempts that wait for a connection to a worker that is no longer live."""
+        """Stop the attempts of which no byte is written yet and whose worker is no longer live."""
         for dispatch in self._dispatches.all():
             for attempt in dispatch.attempts:
                 if not attempt.ended and not attempt.written and not self._endpoints.is_live(attempt.worker):
                     self.stop(attempt)
 
     def _may_write(self, attempt: Attempt) -> bool:
-        """Return whether the rules permit this attempt at the moment before its first byte."""
+        """Return True if the rules permit writing the first byte of this attempt now."""
         request = attempt.dispatch.request
         route = request.route
         if attempt.ended or not request.answer.open or not self._endpoints.is_live(attempt.worker):
@@ -105,7 +105,7 @@
         return route.idempotent or not request.may_have_run
 
     def _has_connected_attempt(self, request: ClientRequest) -> bool:
-        """Return whether an attempt of a request has a connection to be written on, and no outcome."""
+        """Return True if an attempt of the request has a connection and no outcome yet."""
         entry = self._requests.entry(request)
         return entry is not None and any(attempt.exchange is not None for attempt in entry.attempts_in_flight())
 
@@ -143,7 +143,7 @@
         await self._conclude(attempt, result)
 
     async def _conclude(self, attempt: Attempt, result: ExchangeResult) -> None:
-        """Take the result of an exchange: an answer for the client, or another chance for the dispatcher."""
+        """Send the worker's answer to the client, or report the failed attempt to the dispatcher for a retry."""
         request = attempt.dispatch.request
         if attempt.ended:
             return
--- a/canvasbeam/data_plane/dispatcher_driver.py
+++ b/canvasbeam/data_plane/dispatcher_driver.py
@@ -1,8 +1,8 @@
-"""The driver of the dispatcher: it gathers events, and hands the actions of each pass to the router in their order.
+"""Drive the dispatcher: collect events, and give the router the dispatcher's actions in the returned order.
 
-`DispatcherDriver` is the only caller of `Dispatcher.handle`, once a pass of the event loop, and owns the events that
-wait for it, the dispatcher and its timers. A dispatcher that raises is replaced by a new one. What an action means for
-a request is not known here.
+`DispatcherDriver` is the only caller of `Dispatcher.handle`, at most once per iteration of the event loop, and owns the
+dispatcher, the dispatcher's timers and the pending events. A dispatcher that raises an exception is replaced by a new
+dispatcher. `DispatcherDriver` does not interpret actions other than timers.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 class DispatcherDriver:
     """Runs the dispatcher on the event loop.
 
-    `carry_out` takes each action. After a failure `on_failure` is called, and then `initial_events` are what the new
-    dispatcher is told first.
+    `carry_out` is called with each action. After the dispatcher raises an exception, `on_failure` is called, and
+    `initial_events` returns the first events for the new dispatcher.
     """
 
     def __init__(
@@ -48,14 +48,14 @@
         self._is_pass_scheduled = False
 
     def add_event(self, event: Event) -> None:
-        """Give an event to the dispatcher, in the next pass of the event loop."""
+        """Queue an event for the dispatcher, which handles queued events in the next iteration of the event loop."""
         self._events.append(event)
         if not self._is_pass_scheduled:
             self._is_pass_scheduled = True
             self._loop.call_soon(self._run_pass)
 
     def set_timer(self, action: SetTimer) -> None:
-        """Give the dispatcher a `TimerFired` at or after the time of the action."""
+        """Queue a `TimerFired` event for the dispatcher at or after the time of the action."""
         delay_s = max(0, action.when_ns - self._now_ns()) / SECOND
         self._loop.call_later(delay_s, self.add_event, TimerFired(action.token))
 
@@ -65,7 +65,7 @@
         try:
             actions = self._dispatcher.handle(self._now_ns(), events)
         except Exception:
-            log.exception("dispatcher failed action=started anew")
+            log.exception("dispatcher failed action=restarted")
             self._restart()
             return
         for action in actions:
@@ -74,6 +74,6 @@
     def _restart(self) -> None:
         self._on_failure()
         self._dispatcher = self._make_dispatcher()
-        self._events = []  # of requests that the new dispatcher does not know
+        self._events = []  # pending events concern requests that the new dispatcher does not have
         for event in self._initial_events():
             self.add_event(event)
--- a/canvasbeam/data_plane/dispatcher_settings.py
+++ b/canvasbeam/data_plane/dispatcher_settings.py
@@ -1,6 +1,6 @@
-"""The dispatcher's settings for a data-plane node, and the expectations that it is given.
+"""Define the dispatcher's settings for a data-plane node, and the initial expectations of model workers.
 
-The figures here were chosen by trials (docs/design/placement.md). Nothing here keeps state.
+The constants were chosen by trials (docs/design/placement.md). This module keeps no state.
 """
 
 from __future__ import annotations
@@ -14,19 +14,20 @@
 from canvasbeam.units import MILLISECOND
 
 QUANTUM_NS = 2 * MILLISECOND
-# A worker that refused a connection is ejected for this long at first.
+# The connect timeout is also the duration of a worker's first ejection, for example after a refused connection.
 CONNECT_TIMEOUT_NS = 300 * MILLISECOND
 RETRY_ADVICE_NS = 300 * MILLISECOND
-# A request that finds no worker is rejected before a quarter of its latency target is over: its retry is worth more.
+# Share of the latency target after which a request that finds no worker is rejected. The share is below a quarter,
+# because the retry of an early rejected request is worth more than a later answer.
 HOLD_SHARE = 0.18
-# How many round-robin turns a worker whose first token is expected sooner may be ahead of the others.
+# Round-robin turns that a worker with an earlier expected first token may be ahead of the other workers.
 MAX_FIRST_TOKEN_LEAD_TURNS = 4.0
 
 
 def dispatcher_settings(settings: ProcessSettings) -> Settings:
-    """Return the settings, in which priority rings are regions: the own one first, then all others.
+    """Return the dispatcher's settings, with regions as priority rings: the own region first, then all others.
 
-    `dispatchers` stays 1: what binds all schedulers together is the share of `FleetLimits`.
+    `dispatchers` stays 1, because the quota shares of `FleetLimits` enforce the limits over all schedulers.
     """
     regions = tuple(sorted({settings.region, *settings.zones.values()}))
     limits = DispatchLimits(
@@ -51,12 +52,12 @@
 
 
 def engine_expectations(settings: ProcessSettings) -> EngineExpectations:
-    """Return what this node expects of model workers, with nothing learned yet."""
+    """Return this node's initial expectations of model workers, before any observation."""
     return EngineExpectations(settings.region)
 
 
 def engines(services: Mapping[str, Service]) -> dict[str, EngineCapacity]:
-    """Return the engines of those services that run language models."""
+    """Return the engine capacity of each service that runs a language model, keyed by service."""
     return {
         name: EngineCapacity(kv_cache_tokens=int(service.engine["kv_capacity"]))
         for name, service in services.items()
--- a/canvasbeam/data_plane/endpoint_list.py
+++ b/canvasbeam/data_plane/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The endpoint list: the workers that the item table names, as the router and the connections are notified of them.
+"""Maintain the endpoint list: notify the router and the connection pools of the workers in the item table.
 
-`EndpointList` owns what they were notified of last. A worker takes new requests while it says that it is ready,
-its item stands, and its zone is not evacuated.
+`EndpointList` owns the last endpoint of each worker that the router was notified of. A worker receives new requests
+while the worker reports itself ready, the worker's item is not deleted, and the worker's zone is not evacuated.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 
 
 class EndpointList:
-    """Follows the item table and notifies the router of each change.
+    """Watches the item table and notifies the router of each change.
 
-    `regions` gives the region of each zone, and `live_nodes` among how many nodes a worker's connections are divided.
+    `regions` is the region of each zone. `live_nodes` returns the number of nodes that share a worker's connections.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self.refresh()
 
     def refresh(self) -> None:
-        """Look at all workers again, as after a change of the configuration or the settings."""
+        """Recompute the endpoints of all workers, for example after a change of the configuration."""
         self._notify(self._table.of_kind(ItemKind.WORKER))
 
     def _notify(self, items: Iterable[Item]) -> None:
@@ -110,7 +110,7 @@
         )
 
     def _warm_up_end_ns(self, item: Item, record: WorkerRecord) -> int:
-        """Return when a worker has warmed up, from the first look at this version of its item; 0 where it has."""
+        """Return the end of a worker's warm-up in nanoseconds, computed once per item version; 0 = warmed up."""
         version, until_ns = self._warm_until.get(item.key, (None, 0))
         if version != item.version:
             warm_up_ns = record.warm_up_remaining_ms * MILLISECOND
--- a/canvasbeam/data_plane/event_stream.py
+++ b/canvasbeam/data_plane/event_stream.py
@@ -1,7 +1,7 @@
-"""Events of a `text/event-stream` answer, cut from the bytes as they come, with the id that each carries.
+"""Split the bytes of a `text/event-stream` answer into events, and read the id of each event.
 
-The format is that of server-sent events (WHATWG HTML, 9.2.5 and 9.2.6). Events are passed on as the bytes that came; of
-their fields only `id` is read.
+The format is server-sent events (WHATWG HTML, 9.2.5 and 9.2.6). The bytes of an event are forwarded unchanged; `id` is
+the only field that is parsed.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 
 class EventTooLargeError(Exception):
-    """An event did not end within `MAX_EVENT_BYTES`."""
+    """An event is longer than `MAX_EVENT_BYTES`."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One event as it was received, its closing blank line included."""
+    """The bytes of one event as received, including the final blank line, and the event's id if any."""
 
     data: bytes
     event_id: bytes | None = None
 
 
 class EventSplitter:
-    """Collects the bytes of a stream until an event is complete."""
+    """Buffers the bytes of a stream until an event is complete."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -36,11 +36,11 @@
 
     @property
     def partial(self) -> bytes:
-        """What was received of an event that has not ended."""
+        """The bytes received of an incomplete event; empty between events."""
         return bytes(self._buffer)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take bytes and return the events that they complete; raise `EventTooLargeError` beyond the limit."""
+        """Append bytes and return the completed events; raise `EventTooLargeError` if an event is too long."""
         self._buffer += data
         events = []
         while (end := _EVENT_END.search(self._buffer, max(0, self._searched_bytes - _MAX_END_BYTES))) is not None:
@@ -59,7 +59,7 @@
 
 
 def is_after(event_id: bytes, earlier: bytes) -> bool:
-    """Return whether an id is higher than an earlier one; ids that are not numbers only need to differ."""
+    """Return True if `event_id` is a higher number than `earlier`; ids that are not numbers only need to differ."""
     if event_id.isdigit() and earlier.isdigit():
         return int(event_id) > int(earlier)
     return event_id != earlier
--- a/canvasbeam/data_plane/exchange.py
+++ b/canvasbeam/data_plane/exchange.py
@@ -1,10 +1,10 @@
-"""One exchange with a worker: a request sent over one connection, and what became of it.
+"""Run one exchange with a worker: send a request over one connection, and read and classify the answer.
 
-The result says exactly whether the request ran: an outcome that proves that it did not is given only where the worker
-said so or where no byte was written. Whatever is not the worker's complete, sealed answer to this very request is never
-handed on as one. A connection belongs to one exchange at a time; its pool takes it back afterwards.
+An outcome proves that the request did not run only if the worker said so or no byte was written. Bytes that are not the
+worker's complete, sealed answer to this request are never forwarded as a complete answer. A connection belongs to one
+exchange at a time, and returns to its pool afterwards.
 
-Whether a request may be written again after each outcome is the table of docs/design/hardening/calls.md.
+The table in docs/design/hardening/calls.md states for each outcome whether a request may be written again.
 """
 
 from __future__ import annotations
@@ -30,28 +30,28 @@
 from canvasbeam.dispatch.events import Outcome
 
 EVENT_STREAM = b"text/event-stream"
-# An answer with one of these is a promise that the request did not run, which only `X-Not-Executed` makes true.
+# Statuses which promise that the request did not run; the promise is trusted only with an `X-Not-Executed` header.
 NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 MISDIRECTED = 421
 MAX_ANSWER_BYTES = 64 << 20
 
 
 class EventSink(Protocol):
-    """Takes the events of a stream as they come."""
+    """Receiver of the events of a stream."""
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Take the head of the stream; called once, when the first event is at hand."""
+        """Receive the status and headers of the stream; called once, before the first event."""
 
     async def send_events(self, events: list[StreamEvent]) -> None:
-        """Take complete events that came together."""
+        """Receive one or more complete events, in order."""
 
     async def send_remainder(self, data: bytes) -> None:
-        """Take the bytes after the last event of a stream that ended properly."""
+        """Receive the bytes after the last event of a stream that ended without an error."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerRequest:
-    """What is written to a worker."""
+    """A request as written to a worker."""
 
     identity: bytes
     method: bytes
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeResult:
-    """How an exchange ended. `answer` is a complete answer of the worker; a stream was given to the sink instead."""
+    """Result of an exchange. `answer` is the worker's complete answer, or None; a stream's events go to the sink."""
 
     outcome: Outcome
     answer: Answer | None = None
@@ -72,7 +72,7 @@
 
 
 class _InvalidAnswerError(Exception):
-    """The worker's bytes are not a complete answer to this request."""
+    """The bytes from the worker are not a complete answer to this request."""
 
 
 class Exchange:
@@ -88,11 +88,11 @@
 
     @property
     def written(self) -> bool:
-        """Whether any byte of the request was given to the kernel."""
+        """True if any byte of the request was passed to the kernel."""
         return self._connection.stream.bytes_written > self._written_before
 
     async def run(self) -> ExchangeResult:
-        """Exchange the request for its answer; the connection is of no use afterwards unless `reusable`."""
+        """Send the request and read the answer; afterwards the connection must be discarded unless `reusable`."""
         self._connection.recent_request_ids.append(self._request.identity)
         try:
             return await self._exchange()
@@ -102,7 +102,7 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether the connection can carry another request."""
+        """True if the connection can carry another request."""
         return self._reusable
 
     async def _exchange(self) -> ExchangeResult:
@@ -130,38 +130,39 @@
                 connection.announced_idle_limit_s = _announced_idle_limit_s(value)
 
     def _check_head(self, status: int, headers: Headers) -> None:
-        """Raise unless the answer is for this request: a surplus one may come in the place of the expected one.
+        """Raise `_InvalidAnswerError` if the answer may be for another request, is not final, or is encoded.
 
-        A rejection without an id is for this request only where the connection carried nothing before.
+        A surplus answer to an earlier request may arrive in place of the expected answer. A rejection without a request
+        id is accepted only if the connection has carried no earlier request.
         """
         if status < 200:
-            raise _InvalidAnswerError("the worker changed the protocol")
+            raise _InvalidAnswerError(f"the status of the answer is {status}, expected at least 200")
         identity = find_header(headers, REQUEST_ID)
         rejected = status == MISDIRECTED or find_header(headers, NOT_EXECUTED) is not None
         is_ours_without_id = identity is None and rejected and self._connection.is_first_use
         if identity != self._request.identity and not is_ours_without_id:
-            raise _InvalidAnswerError("the answer belongs to another request")
+            raise _InvalidAnswerError(f"the answer is for request {identity!r}, expected {self._request.identity!r}")
         if find_header(headers, b"content-encoding") is not None:
-            raise _InvalidAnswerError("the body was encoded")
+            raise _InvalidAnswerError("the answer has a Content-Encoding header, expected an unencoded body")
 
     async def _read_body(self, response: httpcore.Response) -> bytes:
-        """Read the complete body; without a length it ends with its connection, which a reset does not end properly."""
+        """Return the complete body; a body without a length ends with a close of the connection, not with a reset."""
         body = bytearray()
         async for chunk in _chunks(response):
             body += chunk
             if len(body) > MAX_ANSWER_BYTES:
-                raise _InvalidAnswerError("the answer is too large")
+                raise _InvalidAnswerError(f"the body of the answer exceeds {MAX_ANSWER_BYTES} bytes")
         return bytes(body)
 
     async def _finish(self, response: httpcore.Response) -> None:
-        """Close the exchange; bytes after the answer belong to no request, and end the connection."""
+        """Close the response; bytes after the answer belong to no request and make the connection unusable."""
         await response.aclose()
         self._reusable = self._connection.is_clean
 
     def _classify(self, status: int, headers: Headers, body: bytes) -> ExchangeResult:
         answer = Answer(status, _answer_headers(headers, len(body)), body)
         if status == MISDIRECTED:
-            return ExchangeResult(Outcome.CONNECT_FAILED)  # another worker has the address now
+            return ExchangeResult(Outcome.CONNECT_FAILED)  # another worker now uses the address
         if find_header(headers, NOT_EXECUTED) is not None:
             if status == 400:
                 return ExchangeResult(Outcome.MOOT, answer)
@@ -174,7 +175,7 @@
 
     async def _pass_events(self, response: httpcore.Response, headers: Headers) -> ExchangeResult:
         if find_header(headers, SEAL) is None:
-            raise _InvalidAnswerError("the stream has no seal")
+            raise _InvalidAnswerError("the event stream has no X-Response-Seal header")
         splitter = EventSplitter()
         async for chunk in _chunks(response):
             events = splitter.feed(chunk)
@@ -182,7 +183,7 @@
                 await self._begin(headers)
                 await self._sink.send_events(events)
         if not _is_framed(headers) and (splitter.partial or not self.stream_began):
-            raise _InvalidAnswerError("the connection ended within an event, or before the first")
+            raise _InvalidAnswerError("the connection ended within an event or before the first event")
         await self._begin(headers)
         if splitter.partial:
             await self._sink.send_remainder(splitter.partial)
@@ -207,7 +208,7 @@
 
 
 def _is_framed(headers: Headers) -> bool:
-    """Whether the worker marks the end of the body, other than by the end of its connection."""
+    """Return True if the headers delimit the body, so that its end is not marked by the end of the connection."""
     return any(name in (CONTENT_LENGTH, b"transfer-encoding") for name, _ in headers)
 
 
--- a/canvasbeam/data_plane/health_check.py
+++ b/canvasbeam/data_plane/health_check.py
@@ -1,6 +1,6 @@
-"""The health check of one worker: one request over a connection of its pool.
+"""Check the health of one worker: send one request over a connection from the worker's pool.
 
-It decides nothing: the dispatcher asks for checks, and ejects or readmits workers by their outcomes.
+The dispatcher requests health checks, and ejects or readmits workers according to the outcomes.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 async def check_health(pool: WorkerPool, worker: str, path: str) -> Outcome:
-    """Ask a worker for its health over one of its connections.
+    """Send a health check to a worker over one of the worker's connections, and return the outcome.
 
-    Any status but 200, and another worker at the address, is `ERROR`; no connection is `CONNECT_FAILED`; no answer
-    within `HEALTH_CHECK_TIMEOUT_S` is `TIMED_OUT`; a connection that broke, or held an answer to an earlier request, is
-    `BROKEN`.
+    The outcome is `ERROR` for any status but 200 or an answer from another worker, `CONNECT_FAILED` if no connection
+    was opened, `TIMED_OUT` without an answer within `HEALTH_CHECK_TIMEOUT_S`, and `BROKEN` if the connection broke or
+    delivered an answer to an earlier request.
     """
     try:
         async with asyncio.timeout(HEALTH_CHECK_TIMEOUT_S):
@@ -49,7 +49,7 @@
         raise
     headers = {name.lower(): value for name, value in response.headers}
     if headers.get(b"x-request-id") in connection.recent_request_ids:
-        pool.discard(connection)  # a surplus answer to an earlier request: the one to this question is still due
+        pool.discard(connection)  # surplus answer to an earlier request; the answer to the check is outstanding
         return Outcome.BROKEN
     pool.release(connection)
     named = headers.get(b"x-instance")
--- a/canvasbeam/data_plane/metrics.py
+++ b/canvasbeam/data_plane/metrics.py
@@ -1,7 +1,7 @@
-"""The counters of a data-plane process as text, made when they are asked for.
+"""Render the counters of a data-plane process as text at each request for metrics.
 
-The format is Prometheus's text exposition format, version 0.0.4. Names, labels and their values are read by monitoring
-systems and by `canvasbeam system explain`: they stay. Nothing is counted here.
+The format is Prometheus's text exposition format, version 0.0.4. Metric names, labels and label values must not change,
+because monitoring systems and `canvasbeam system explain` read these texts. This module counts nothing itself.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def outcome_lines(counters: OutcomeCounters) -> Iterator[str]:
-    """Yield the lines of all counters of outcomes."""
+    """Yield the lines of all outcome counters."""
     for name, meaning, value in _FAMILIES:
         yield f"# HELP {PREFIX}{name} {meaning}"
         yield f"# TYPE {PREFIX}{name} counter"
@@ -35,7 +35,7 @@
 
 
 def gauge_lines(gauges: Mapping[str, float]) -> Iterator[str]:
-    """Yield the lines of single figures, given by their names."""
+    """Yield the lines of gauges; `gauges` is keyed by metric name without the prefix `canvasbeam_`."""
     for name, value in gauges.items():
         yield f"# TYPE canvasbeam_{name} gauge"
         yield f"canvasbeam_{name} {value:g}"
@@ -52,13 +52,13 @@
 
 
 class MetricsApp:
-    """Answers every path with the lines of text."""
+    """ASGI application that answers every HTTP request with the metrics."""
 
     def __init__(self, lines: Callable[[], Iterable[str]]) -> None:
         self._lines = lines
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request."""
+        """Answer one HTTP request; ignore other scopes."""
         if scope["type"] != "http":
             return
         body = "".join(f"{line}\n" for line in self._lines()).encode()
--- a/canvasbeam/data_plane/network_stream.py
+++ b/canvasbeam/data_plane/network_stream.py
@@ -1,7 +1,8 @@
-"""A TCP connection to a worker, as the stream that httpcore reads and writes.
+"""Implement httpcore's network stream over a TCP connection to a worker.
 
-It knows at any time whether bytes were given to the kernel, whether unread bytes are there and whether the worker has
-closed: what decides if a request may have run, and if an idle connection may be used again. It knows nothing of HTTP.
+A `WorkerStream` reports whether bytes were passed to the kernel, which decides whether a request may have run, and
+whether unread bytes are available or the worker has closed, which decides whether an idle connection may be reused.
+This module does not depend on HTTP.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 
 from canvasbeam.runtime.settings import Address
 
-# A network partition or a machine without power sends nothing: unacknowledged bytes and unanswered keepalive probes end
-# a connection after this time, idle and in use. Clients give up an unresponsive stream a little later.
+# A network partition or a power failure sends no FIN or RST, so a connection, idle or in use, is closed after this time
+# without an acknowledgement of sent bytes or keepalive probes. Clients abandon an unresponsive stream slightly later.
 USER_TIMEOUT_MS = 3000
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
@@ -25,7 +26,7 @@
 
 
 class WorkerStream(httpcore.AsyncNetworkStream, asyncio.Protocol):
-    """One open connection, on one event loop."""
+    """One TCP connection to a worker; must be used on one event loop only."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -40,31 +41,31 @@
         self._lost = False
         self._error: Exception | None = None
         self.bytes_written = 0
-        self.on_closed: Callable[[], None] | None = None  # called once, when the connection is lost
+        self.on_closed: Callable[[], None] | None = None  # called once, when the connection is closed or lost
 
     # --- asyncio.Protocol -----------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and its file descriptor."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._descriptor = transport.get_extra_info("socket").fileno()
 
     def data_received(self, data: bytes) -> None:
-        """Keep bytes until they are read."""
+        """Buffer received bytes; pause the transport above `READ_PAUSE_BYTES`."""
         self._received += data
         if len(self._received) > READ_PAUSE_BYTES and self._transport is not None:
             self._transport.pause_reading()
         self._wake_reader()
 
     def eof_received(self) -> bool:
-        """Note that the worker sends nothing more; the connection is closed with it."""
+        """Record the worker's end of stream, and return False so that the transport closes the connection."""
         self._eof = True
         self._wake_reader()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that the connection is closed, for whatever reason."""
+        """Record that the connection is closed; `exc` is None for an end of stream or a local close."""
         self._lost = True
         self._error = self._error or exc
         self._wake_reader()
@@ -73,18 +74,18 @@
             self.on_closed()
 
     def pause_writing(self) -> None:
-        """Write nothing more for now: the kernel's buffer is full."""
+        """Pause writing, because the transport's write buffer is above its high-water mark."""
         self._write_paused = True
 
     def resume_writing(self) -> None:
-        """Write again: the kernel's buffer has space."""
+        """Resume writing, because the transport's write buffer has drained."""
         self._write_paused = False
         self._wake_writer()
 
     def _wake_reader(self) -> None:
         if self._reader is not None and not self._reader.done():
             self._reader.set_result(None)
-        self._wake_writer()  # an answer may come before the request is out
+        self._wake_writer()  # an answer may arrive before the request is sent completely
 
     def _wake_writer(self) -> None:
         if self._writer is not None and not self._writer.done():
@@ -93,14 +94,17 @@
     # --- httpcore.AsyncNetworkStream --------------------------------------------------------------
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:  # noqa: ASYNC109 - httpcore's signature
-        """Send what was written, and wait for bytes; return none at the proper end, raise `ReadError` at any other."""
+        """Send buffered bytes and wait for received bytes.
+
+        Return no bytes after the worker's regular end of stream; raise `ReadError` if the connection ended otherwise.
+        """
         await self._flush()
         while not self._received and not self._eof and not self._lost:
             self._reader = self._loop.create_future()
             await self._reader
         if not self._received:
             if self._error is not None or not self._eof:
-                raise httpcore.ReadError(str(self._error or "the connection was aborted"))
+                raise httpcore.ReadError(str(self._error or "the connection to the worker was aborted"))
             return b""
         data = bytes(self._received[:max_bytes])
         del self._received[:max_bytes]
@@ -109,14 +113,14 @@
         return data
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:  # noqa: ASYNC109 - httpcore's signature
-        """Keep bytes until the next read: head and body leave together."""
+        """Buffer bytes until the next read, so that the head and body of a request are sent together."""
         self._unsent += buffer
 
     async def _flush(self) -> None:
         if not self._unsent:
             return
         if self._lost or self._transport is None or self._transport.is_closing():
-            raise httpcore.WriteError("the connection is closed")
+            raise httpcore.WriteError("the connection to the worker is closed")
         data, self._unsent = bytes(self._unsent), bytearray()
         self.bytes_written += len(data)
         self._transport.write(data)
@@ -125,35 +129,38 @@
             await self._writer
 
     async def aclose(self) -> None:
-        """Close the connection at once; what is unsent is dropped."""
+        """Abort the connection; unsent bytes are dropped."""
         self.abort()
 
     def abort(self) -> None:
-        """Reset the connection, so that the worker sees at once that nobody waits."""
+        """Abort the connection, so that the worker detects at once that the answer is no longer needed."""
         if self._transport is not None:
             self._transport.abort()
 
     def close_gracefully(self) -> None:
-        """Close an idle connection, without a reset."""
+        """Close an idle connection without a reset."""
         if self._transport is not None:
             self._transport.close()
 
     def get_extra_info(self, info: str) -> bool | None:
-        """Return whether bytes or the end are there to read, where httpcore asks for `is_readable`."""
+        """Return `is_readable()` for the info `is_readable`, which httpcore queries; None for any other info."""
         return self.is_readable() if info == "is_readable" else None
 
     @property
     def closed(self) -> bool:
-        """Whether the connection is known to be of no use."""
+        """True if the connection is known to be closed, closing, or at the worker's end of stream."""
         return self._lost or self._eof or self._transport is None or self._transport.is_closing()
 
     @property
     def has_unsent(self) -> bool:
-        """Whether bytes that were written here are not in the kernel yet."""
+        """True if written bytes are not in the kernel's send buffer yet."""
         return bool(self._unsent) or (self._transport is not None and self._transport.get_write_buffer_size() > 0)
 
     def is_readable(self) -> bool:
-        """Return whether anything is there to read, also in the kernel: on an idle connection that is its end."""
+        """Return True if bytes or an end of stream can be read, including from the kernel.
+
+        An idle connection that is readable has ended or received surplus bytes, and cannot be reused.
+        """
         if self.closed or self._received:
             return True
         poller = select.poll()
@@ -162,7 +169,7 @@
 
 
 async def connect(address: Address, timeout_s: float) -> WorkerStream:
-    """Open a connection; raise `OSError` or `TimeoutError` where that fails."""
+    """Open a connection to a worker; raise `OSError`, or `TimeoutError` after `timeout_s` seconds."""
     loop = asyncio.get_running_loop()
     connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
--- a/canvasbeam/data_plane/outcome_recorder.py
+++ b/canvasbeam/data_plane/outcome_recorder.py
@@ -1,6 +1,7 @@
-"""Records the moments of each request as it passes through the router, and counts its outcome at the end.
+"""Record the timestamps of each request in the router, and count the outcome when the request ends.
 
-It is the only writer of a process's counters of outcomes, and changes of a request only its times, worker and ring.
+`OutcomeRecorder` is the only writer of a process's outcome counters, and changes only the fields `times`, `worker` and
+`ring` of a request.
 """
 
 from __future__ import annotations
@@ -23,22 +24,22 @@
 from canvasbeam.data_plane.worker_endpoints import WorkerEndpoint
 from canvasbeam.errors import ResultCode
 
-UNROUTED = "unrouted"  # the class of requests that ended before they had one
+UNROUTED = "unrouted"  # label `class` of requests that ended before they were assigned to a request class
 
 
 class Expectations(Protocol):
-    """What is expected of workers, learned from what they do; `EngineExpectations` of the dispatcher."""
+    """Latency expectations learned from workers' answers; implemented by the dispatcher's `EngineExpectations`."""
 
     def expected_ns(self, worker: str, job: str) -> int:
-        """Return nanoseconds from a request's attempt at a worker to its first answer, as expected then, or 0."""
+        """Return the time to first token expected when the attempt started, in nanoseconds; 0 = no expectation."""
 
     def note_event_gap(self, now: int, worker: str, event_gap_ns: float) -> None:
-        """Learn that an event of a stream from the worker came so long after the one before it."""
+        """Record the gap in nanoseconds between an event of a worker's stream and the previous event."""
 
 
 @dataclass(slots=True)
 class OutcomeRecorder:
-    """The only writer of a process's counters of outcomes. Times come from `now_ns`."""
+    """Records the timestamps and outcomes of the requests of one process; `now_ns` returns the current time."""
 
     own_region: str
     now_ns: Callable[[], int]
@@ -46,7 +47,7 @@
     counters: OutcomeCounters = field(default_factory=OutcomeCounters)
 
     def record_attempt(self, attempt: Attempt, worker: WorkerEndpoint | None) -> None:
-        """Record that the dispatcher placed a request at a worker, which may have been removed meanwhile."""
+        """Record the start of an attempt; `worker` is None if the worker was removed from the endpoint list."""
         request = attempt.dispatch.request
         times = request.times
         times.last_sent_ns = attempt.began_ns
@@ -59,18 +60,18 @@
             request.ring = Ring.OWN_REGION if is_own else Ring.OTHER_REGION
 
     def record_connection(self, request: ClientRequest) -> None:
-        """Record that there is a connection to the worker."""
+        """Record that the request has a connection to the worker."""
         request.times.written_ns = self.now_ns()
 
     def record_answer(self, request: ClientRequest, events: int = 1) -> None:
-        """Record that so many events of a worker's stream go to the client, or its complete answer."""
+        """Record that a worker's complete answer, or `events` events of a worker's stream, are sent to the client."""
         now, before = self.now_ns(), request.times.last_event_ns
         request.times.record_event(now)
         if before and self.expectations is not None:
             self.expectations.note_event_gap(now, request.worker, (now - before) / events)
 
     def record_end(self, request: ClientRequest) -> None:
-        """Count the outcome of a request to which nothing more is owed."""
+        """Count the outcome of a request that has ended."""
         state = request.answer.state
         end = RequestEnd(
             request.local_code,
@@ -92,5 +93,5 @@
         self.counters.count(outcome)
 
     def record_rejection(self, code: ResultCode) -> None:
-        """Count a request that this node answered itself because it had no route or was not taken."""
+        """Count a request without a route, or not accepted, that this node answered locally with `code`."""
         self.counters.count(RequestOutcome(UNROUTED, Ring.NONE, Cause.REJECTED, code, 0, 0, 0, 0, 0))
--- a/canvasbeam/data_plane/outcomes.py
+++ b/canvasbeam/data_plane/outcomes.py
@@ -1,7 +1,8 @@
-"""What became of each request of a client: one record at its end, counted by class, ring and cause.
+"""Classify the outcome of each client request, and count the outcomes by class, ring, cause and result code.
 
-`OutcomeCounters` owns the sums. The records are not kept: each is added to the counters of its labels, of which there
-are at most `MAX_LABEL_SETS`. Times are whole nanoseconds of the monotonic clock; nothing here reads a clock.
+`OutcomeCounters` owns the totals. Each outcome is added to the totals of its labels and then dropped; requests beyond
+`MAX_LABEL_SETS` label sets are counted in the class `other`. Times are whole nanoseconds of the monotonic clock. No
+function of this module reads a clock.
 """
 
 from __future__ import annotations
@@ -13,32 +14,32 @@
 from canvasbeam.errors import ResultCode
 
 MAX_LABEL_SETS = 256
-OTHER_CLASS = "other"  # the class of what comes after that many
-# A share of the latency target; the first step that takes more is the cause of a late answer.
+OTHER_CLASS = "other"  # label `class` of new label sets above `MAX_LABEL_SETS`
+# Share of the latency target; the first step of a late request that takes longer is the cause of the delay.
 DECISIVE_SHARE = 0.25
 
 
 class Cause(Enum):
-    """Why a request ended as it did: the first of these that holds.
+    """Cause of a request's outcome: the first applicable cause.
 
-    The values are the words of the metrics' label `cause`, and stay.
+    The values are the values of the metric label `cause` and must not change.
     """
 
     WITHIN_TARGET = "in_time"
     CLIENT_DISCONNECTED = "client_left"
-    REJECTED = "refused"  # no worker took it; it has not run
-    INCOMPLETE = "broken_off"  # a worker's answer ended early or never came
-    DEADLINE_PASSED = "no_answer"  # the time was over with a worker at work
-    LONG_GAP = "long_pause"  # in a stream that began in time
-    QUEUED = "waited_here"  # no attempt until a worker had capacity
-    RETRIED = "tried_again"  # an earlier attempt did not run
-    SLOW_CONNECTION = "slow_connection"
-    SLOWER_THAN_EXPECTED = "worker_slower"  # the first answer came later than was expected when it was sent
-    NO_WORKER_IN_TIME = "expected_late"  # it came as expected, but no worker was expected to give it in time
+    REJECTED = "refused"  # no worker accepted the request; the request did not run
+    INCOMPLETE = "broken_off"  # the worker's answer was incomplete or missing
+    DEADLINE_PASSED = "no_answer"  # the deadline passed while a worker may have been running the request
+    LONG_GAP = "long_pause"  # the stream began in time, but a gap between two events was too long
+    QUEUED = "waited_here"  # the request waited at this node until a worker had capacity
+    RETRIED = "tried_again"  # an earlier attempt did not run, and the retry started late
+    SLOW_CONNECTION = "slow_connection"  # the attempt waited too long for a connection to the worker
+    SLOWER_THAN_EXPECTED = "worker_slower"  # the first answer came later than expected when the request was sent
+    NO_WORKER_IN_TIME = "expected_late"  # the first answer came as expected; no worker was expected to answer in time
 
 
 class Ring(Enum):
-    """The priority ring of the last worker. The values are the words of the metrics' label `ring`, and stay."""
+    """Priority ring of a request's last worker. The values are those of the metric label `ring`; must not change."""
 
     NONE = "none"
     OWN_REGION = "own_region"
@@ -47,7 +48,7 @@
 
 @dataclass(slots=True)
 class RequestTimes:
-    """The moments of a request in nanoseconds, as they pass; 0 where one did not come."""
+    """Timestamps and durations of a request in nanoseconds; 0 = not reached."""
 
     arrived_ns: int
     first_sent_ns: int = 0
@@ -56,10 +57,10 @@
     first_answer_ns: int = 0
     last_event_ns: int = 0
     longest_gap_ns: int = 0
-    expected_ns: int = 0  # from the last attempt to the first answer, as expected when that began
+    expected_ns: int = 0  # from the last attempt to the first answer, as expected at the start of the attempt
 
     def record_event(self, now_ns: int) -> None:
-        """Record that bytes of the answer go to the client."""
+        """Record that the complete answer, or events of the answer, are sent to the client."""
         if not self.first_answer_ns:
             self.first_answer_ns = now_ns
         else:
@@ -69,30 +70,30 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestOutcome:
-    """The record of one request."""
+    """Labels and measurements of one ended request."""
 
     request_class: str
     ring: Ring
     cause: Cause
-    code: ResultCode  # of this node's own answer; OK where a worker answered
+    code: ResultCode  # code of this node's own answer; OK if a worker answered
     attempts: int
-    wait_ns: int  # from the arrival to the first attempt, or to the end
-    first_answer_ns: int  # from the arrival; 0 without an answer
-    expected_ns: int  # from the last attempt; 0 where nothing was expected
-    unexpected_ns: int  # from the last attempt, beyond that
+    wait_ns: int  # from the arrival to the first attempt; to the end of the request without an attempt
+    first_answer_ns: int  # from the arrival to the first answer; 0 without an answer
+    expected_ns: int  # expected time from the last attempt to the first answer; 0 = no expectation
+    unexpected_ns: int  # time from the last attempt to the first answer above `expected_ns`
 
 
 @dataclass(frozen=True, slots=True)
 class LatencyTargets:
-    """Within which times an answer is one in time."""
+    """Longest times, in nanoseconds, within which an answer counts as in time."""
 
     first_answer_ns: int
-    event_gap_ns: int = 0  # 0 where gaps between events do not count
+    event_gap_ns: int = 0  # 0 = no limit on the gap between two events
 
 
 @dataclass(frozen=True, slots=True)
 class RequestEnd:
-    """How a request ended."""
+    """State of a request at its end: result code, and whether the answer was completed or the client left."""
 
     code: ResultCode
     is_complete: bool
@@ -109,7 +110,7 @@
     ring: Ring,
     attempts: int,
 ) -> RequestOutcome:
-    """Return the record of a request that ends now."""
+    """Return the outcome of a request that ends at `now_ns`."""
     took_ns = times.first_answer_ns - times.last_sent_ns if times.first_answer_ns and times.last_sent_ns else 0
     return RequestOutcome(
         request_class,
@@ -143,7 +144,7 @@
 
 
 def _cause_of_delay(attempts: int, times: RequestTimes, targets: LatencyTargets) -> Cause:
-    """Return the first step that took more than `DECISIVE_SHARE` of the latency target."""
+    """Return the cause for the first step that took more than `DECISIVE_SHARE` of the latency target."""
     decisive_ns = DECISIVE_SHARE * targets.first_answer_ns
     if times.first_sent_ns - times.arrived_ns > decisive_ns:
         return Cause.QUEUED
@@ -162,7 +163,7 @@
 
 @dataclass(slots=True)
 class OutcomeTotals:
-    """The sums of all records with the same labels."""
+    """Totals over all outcomes with the same labels."""
 
     requests: int = 0
     attempts: int = 0
@@ -172,7 +173,7 @@
     unexpected_ns: int = 0
 
     def add(self, outcome: RequestOutcome) -> None:
-        """Count one record."""
+        """Add one outcome to the totals."""
         self.requests += 1
         self.attempts += outcome.attempts
         self.wait_ns += outcome.wait_ns
@@ -183,12 +184,12 @@
 
 @dataclass(slots=True)
 class OutcomeCounters:
-    """The counters of one process."""
+    """Outcome counters of one process, by label set."""
 
     _totals: dict[OutcomeLabels, OutcomeTotals] = field(default_factory=dict)
 
     def count(self, outcome: RequestOutcome) -> None:
-        """Add a record to the counters of its labels."""
+        """Add an outcome to the totals of its labels."""
         labels = (outcome.request_class, outcome.ring, outcome.cause, outcome.code)
         if labels not in self._totals and len(self._totals) >= MAX_LABEL_SETS:
             labels = (OTHER_CLASS, *labels[1:])
--- a/canvasbeam/data_plane/placement.py
+++ b/canvasbeam/data_plane/placement.py
@@ -1,7 +1,7 @@
-"""What the dispatcher of a node is given: its settings, the shared limits, and what is expected of model workers.
+"""Create the dispatchers of a data-plane node with settings, shared limits and expectations of model workers.
 
-`Placement` owns these for the life of the process, also where the dispatcher is replaced after a failure. It decides
-nothing about a request.
+`Placement` owns the limits and expectations until the process ends, so both survive the replacement of a failed
+dispatcher. `Placement` makes no decision about requests.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
         self._notices = PlacementNotices(cluster, self.expectations, settings.node, settings.region)
 
     def make_dispatcher(self, settings: ProcessSettings) -> Dispatcher:
-        """Return a new dispatcher, which knows neither classes nor workers yet."""
+        """Return a new dispatcher with a random seed, and without request classes and workers."""
         seed = random.randrange(1 << 30)
         return Dispatcher(dispatcher_settings(settings), seed, self._limits, self.expectations)
 
     def change_configuration(self, configuration: Configuration) -> None:
-        """Take the services of a configuration that is now in force."""
+        """Apply the services of the new active configuration."""
         self._shared_limits.change_configuration(configuration)
         self.expectations.set_engines(engines(configuration.services))
--- a/canvasbeam/data_plane/placement_notices.py
+++ b/canvasbeam/data_plane/placement_notices.py
@@ -1,8 +1,9 @@
-"""Notices between data-plane nodes of their attempts at model workers, so that all know the queue of each worker.
+"""Exchange notices of attempts at model workers between data-plane nodes, so that each node can estimate worker queues.
 
-A notice goes to the nodes of the own region and to those of the worker's, as a datagram. It is a hint: one that is lost
-or late makes an expectation worse and breaks no rule. In a very large region a node notifies only some others, chosen
-by rendezvous hashing. `PlacementNotices` owns the list of these; the expectations are the dispatcher's.
+A node sends each notice as a datagram to the nodes of its own region and of the worker's region. Notices are hints: a
+lost or late notice makes an expectation less accurate but violates no rule. In a very large region a node notifies only
+some other nodes, chosen by rendezvous hashing. `PlacementNotices` owns the list of notified nodes; the dispatcher owns
+the expectations.
 """
 
 from __future__ import annotations
@@ -20,26 +21,27 @@
 from canvasbeam.dispatch.language_model.expectations import EngineExpectations
 from canvasbeam.runtime.settings import Address
 
-# The prefill of shorter prompts is so quick that it is not worth a message.
+# Minimum prompt length for a notice, in tokens; the prefill of a shorter prompt is too short to justify a message.
 MIN_PROMPT_TOKENS = 400
-# A node notifies so many others in each region. Who knows of a part of the attempts only sends where others queue.
+# Maximum number of other nodes that a node notifies in each region. A node that receives notices of only some attempts
+# sends requests to workers at which the requests of other nodes already queue.
 MAX_PEERS_PER_REGION = 40
 NO_PROMPT = PromptEstimate(0, 0)
-MICROSECOND = 1_000  # in nanoseconds
+MICROSECOND = 1_000  # nanoseconds
 MAX_EVENT_GAP_US = (1 << 32) - 1
-# The list of them is made anew after this time.
+# Lifetime of the list of notified nodes, in nanoseconds; the list is then recomputed.
 PEER_LIST_LIFETIME_NS = 500_000_000
 
 
 class PlacementNotices:
-    """Sends a notice for each of this node's attempts, and takes those of other nodes into the expectations."""
+    """Sends notices of this node's attempts, and adds the notices of other nodes to the expectations."""
 
     def __init__(self, cluster: ClusterNode, expectations: EngineExpectations, node: str, region: str) -> None:
         self._cluster = cluster
         self._expectations = expectations
         self._node = node
         self._region = region
-        self._peers: dict[str, list[Address]] = {}  # by region
+        self._peers: dict[str, list[Address]] = {}  # addresses of the notified nodes, by region
         self._peers_until = 0
         expectations.on_attempt = self._send_prompt_notice
         expectations.on_timeout = self._send_timeout_notice
@@ -60,7 +62,7 @@
                 self._cluster.transport.send_datagram(address, payload, Channel.PLACEMENT)
 
     def _peers_in(self, region: str) -> list[Address]:
-        """Return the nodes of a region that are notified, without this one."""
+        """Return the addresses of the nodes of a region that this node notifies."""
         now = time.monotonic_ns()
         if now >= self._peers_until:
             self._peers_until = now + PEER_LIST_LIFETIME_NS
@@ -88,10 +90,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementNotice:
-    """A prompt was sent to a worker, or the worker is unresponsive.
+    """Notice that a prompt was sent to a worker, or that the worker is unresponsive.
 
-    `event_gap_ns` is the time between the events of the worker's streams that the sender has seen lately. On the wire
-    the fields are `pause_us`, in microseconds, and `is_silent`.
+    `event_gap_ns` is the gap between events of the worker's streams that the sender observed recently, in nanoseconds;
+    0 = none. In the protobuf message `event_gap_ns` is `pause_us`, in microseconds, and `is_unresponsive` is
+    `is_silent`.
     """
 
     worker: str
@@ -101,7 +104,7 @@
 
 
 def encode_notice(notice: PlacementNotice) -> bytes:
-    """Return a notice as bytes."""
+    """Return a notice serialized as a protobuf message."""
     prompt = notice.prompt
     parts = [placement_pb2.PromptPart(name=part.name, tokens=part.tokens) for part in prompt.parts]
     return placement_pb2.PlacementNotice(
@@ -114,7 +117,7 @@
 
 
 def decode_notice(payload: bytes) -> PlacementNotice | None:
-    """Return the notice of these bytes, or None where it cannot be read."""
+    """Return the notice in a datagram's payload, or None if the payload cannot be parsed."""
     notice = placement_pb2.PlacementNotice()
     try:
         notice.ParseFromString(payload)
@@ -126,5 +129,5 @@
 
 
 def _pair_hash(one: str, other: str) -> bytes:
-    """Return a hash that is the same for both nodes, so that whom a node notifies also notifies it."""
+    """Return a hash of two nodes that does not depend on their order, so that nodes tend to notify each other."""
     return blake2b("\0".join(sorted((one, other))).encode(), digest_size=8).digest()
--- a/canvasbeam/data_plane/shared_limits.py
+++ b/canvasbeam/data_plane/shared_limits.py
@@ -1,6 +1,7 @@
-"""Keeps this node's quota share of the limits on all data-plane nodes up to date with the members and services.
+"""Update this node's quota share of the fleet-wide limits when the members or the services change.
 
-`FleetLimits` of the dispatcher owns the limits and counts against them; here only members and services are handed on.
+The dispatcher's `FleetLimits` owns the limits and counts requests against the limits; this module only forwards members
+and services.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 
 
 def make_limits(settings: ProcessSettings, now_ns: int) -> FleetLimits:
-    """Return the limits of the deployment, with nothing known of other nodes yet."""
+    """Return the limits of the deployment before any other node is known; `now_ns` is the monotonic time."""
     bounds: Bounds = settings.bounds
     retry = RetryLimit(bounds.retry_ratio, bounds.retry_slack, round(bounds.retry_window_s * SECOND))
     return FleetLimits(settings.node, retry, WarmUpLimit(bounds.cold_over, bounds.cold_slack), clock_start=now_ns)
 
 
 class SharedLimits:
-    """Notifies the limits of each change of the members and of the configuration."""
+    """Forwards each change of the members and of the configuration to `FleetLimits`."""
 
     def __init__(self, limits: FleetLimits, table: ItemTable, members: Members, now_ns: Callable[[], int]) -> None:
         self._limits = limits
@@ -43,6 +44,6 @@
             self._limits.members(self._now_ns(), regions)
 
     def change_configuration(self, configuration: Configuration) -> None:
-        """Take the services of a configuration that is now in force."""
+        """Apply the services' warm-up rates of the new active configuration."""
         rates = {name: WarmUpRate(service.warmup_per_s) for name, service in configuration.services.items()}
         self._limits.services(self._now_ns(), rates)
--- a/canvasbeam/data_plane/streams.py
+++ b/canvasbeam/data_plane/streams.py
@@ -1,7 +1,8 @@
-"""Forwards a worker's stream to the client, and resumes it at another worker under the first one's head.
+"""Forward a worker's event stream to the client, also when another worker resumes the stream.
 
-What the client has is known by the ids of its events: `ClientRequest.last_event_id`, which only this module changes. It
-does not choose workers, and never writes an event twice.
+The client receives the status and headers of the first worker only. `ClientRequest.last_event_id` is the id of the last
+event sent to the client, so that no event with an id is sent twice; only this module changes that field. This module
+does not choose workers.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class StreamForwarder:
-    """Writes the events of one exchange to the client, without those that an earlier exchange had forwarded."""
+    """Forwards the events of one exchange to the client, except events that an earlier exchange forwarded."""
 
     def __init__(
         self, request: ClientRequest, on_opened: Callable[[], None], on_forwarded: Callable[[ClientRequest, int], None]
@@ -24,20 +25,20 @@
         self._on_forwarded = on_forwarded
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Write the head, unless the stream goes on from an earlier worker's."""
+        """Send the status and headers, unless this exchange resumes the stream of an earlier worker."""
         self._on_opened()
         if self._request.answer.state is AnswerState.WAITING:
             await self._request.answer.begin(status, headers)
 
     async def send_events(self, events: list[StreamEvent]) -> None:
-        """Write those of the events that the client does not have."""
+        """Send the events that the client has not received yet."""
         new_events = [event for event in events if self._is_new(event)]
         if new_events:
             self._on_forwarded(self._request, len(new_events))
             await self._request.answer.send_chunk(b"".join(event.data for event in new_events))
 
     async def send_remainder(self, data: bytes) -> None:
-        """Write what followed the last event of a stream that ended properly."""
+        """Send the bytes after the last event of a stream that ended without an error."""
         await self._request.answer.send_chunk(data)
 
     def _is_new(self, event: StreamEvent) -> bool:
@@ -51,7 +52,7 @@
 
 
 def can_resume(request: ClientRequest) -> bool:
-    """Return whether a stream that broke may be resumed at another worker."""
+    """Return True if an interrupted stream may be resumed at another worker."""
     return (
         request.route.resume
         and request.answer.state is AnswerState.STREAMING
--- a/canvasbeam/data_plane/worker_connections.py
+++ b/canvasbeam/data_plane/worker_connections.py
@@ -1,8 +1,8 @@
-"""The connections to workers: one request at a time on each, kept idle and used again, the newest first.
+"""Pool the connections to workers: one request at a time per connection; the latest idle connection is reused first.
 
 `WorkerConnections` owns a `WorkerPool` for each worker in the endpoint list, and each pool owns its connections. A
-connection is opened only when no idle one may be used, and never beyond this node's share of what the worker accepts.
-Nothing here chooses a worker or writes a request.
+connection is opened only if no idle connection may be reused, and never above this node's share of the connections that
+the worker accepts. This module neither chooses workers nor writes requests.
 """
 
 from __future__ import annotations
@@ -18,24 +18,26 @@
 from canvasbeam.runtime.settings import Address
 
 CONNECT_TIMEOUT_S = 0.5
-# A worker that announces no time may close an idle connection at any moment.
+# Maximum idle time of a reused connection whose worker announced no keep-alive timeout, because the worker may close an
+# idle connection at any time; the second limit is for requests that must not be repeated.
 DEFAULT_IDLE_LIMIT_S = 15.0
 DEFAULT_IDLE_LIMIT_UNSAFE_S = 4.0
-# How long before its announced end a connection is no longer used: the worker's clock began earlier.
+# Safety margin that is subtracted from an announced keep-alive timeout, because the worker's idle time starts earlier
+# than this node's; the second margin is for requests that must not be repeated.
 IDLE_MARGIN_S = 0.3
 IDLE_MARGIN_UNSAFE_S = 1.0
 MIN_CONNECTIONS = 3
-# A surplus answer to one of these requests may still come.
+# Recent request ids kept per connection, because a surplus answer to one of these requests may still arrive.
 MAX_RECENT_REQUEST_IDS = 16
 
 
 class WorkerConnectError(Exception):
-    """No connection to the worker was opened; nothing was sent."""
+    """No connection to the worker is available, and no byte was sent."""
 
 
 @dataclass(slots=True, eq=False)
 class WorkerConnection:
-    """One connection, and what its worker announced about keeping it."""
+    """A connection to a worker, with its recent requests and the keep-alive headers of the worker's answers."""
 
     stream: WorkerStream
     http: httpcore.AsyncHTTP11Connection
@@ -43,24 +45,24 @@
     announced_idle_limit_s: float | None = None
     idle_since_s: float = 0.0
     completed_requests: int = 0
-    closing: bool = False  # the worker announced that it closes this connection
+    closing: bool = False  # True if the worker announced the close of the connection, or this node is closing it
     recent_request_ids: deque[bytes] = field(default_factory=lambda: deque(maxlen=MAX_RECENT_REQUEST_IDS))
 
     @property
     def is_first_use(self) -> bool:
-        """Whether this is the first request on this connection: every answer on it is to this request."""
+        """True if no request was completed on the connection, so an answer can only be for the current request."""
         return self.completed_requests == 0
 
     @property
     def is_clean(self) -> bool:
-        """Whether the last request was sent to its last byte, and nothing follows its answer."""
+        """True if the last request was sent completely and no bytes follow its answer."""
         unread, _ = self.http._h11_state.trailing_data  # noqa: SLF001 - httpcore has no public name for it
         return not unread and not self.stream.has_unsent and not self.stream.is_readable()
 
     def may_be_reused(self, now: float, unsafe: bool) -> bool:
-        """Return whether an idle connection can be expected to be open when a request reaches the worker.
+        """Return True if an idle connection is expected to be still open when a request arrives at the worker.
 
-        `now` is in seconds of the event loop's clock.
+        `now` is in seconds of the event loop's clock. `unsafe` is True for a request that must not be repeated.
         """
         if unsafe:
             limit, margin = DEFAULT_IDLE_LIMIT_UNSAFE_S, IDLE_MARGIN_UNSAFE_S
@@ -89,26 +91,27 @@
 
     @property
     def open_count(self) -> int:
-        """Connections that are open or being opened."""
+        """Number of connections that are open or being opened."""
         return self._open
 
     @property
     def idle_count(self) -> int:
-        """Idle connections."""
+        """Number of idle connections."""
         return len(self._idle)
 
     async def acquire(self, unsafe: bool, identity: bytes | None = None) -> WorkerConnection:
-        """Return a connection for one request; raise `WorkerConnectError` where none can be opened.
+        """Return a connection for one request; raise `WorkerConnectError` if no connection can be opened.
 
-        Waits while the pool is at its maximum. A retry gets a connection that did not carry the request before: there,
-        a surplus answer to the first attempt could not be told from the one to the second.
+        Waits while the pool is at its maximum. A retry never reuses a connection that carried an earlier attempt of the
+        request, because on that connection a surplus answer to the earlier attempt would be taken for the answer to the
+        retry.
         """
         while True:
             connection = self._take_idle(unsafe, identity)
             if connection is not None:
                 return connection
             if self._retired:
-                raise WorkerConnectError("the worker is gone")
+                raise WorkerConnectError("the worker was removed, or its address was changed")
             if self._open < self.max_connections:
                 return await self._connect()
             await self._wait_for_capacity()
@@ -128,7 +131,7 @@
                 self.discard(connection)
         self._idle.extend(reversed(kept))
         if found is None and kept and self._open >= self.max_connections:
-            self.discard(self._idle.popleft())  # its slot is needed for a connection that may be used
+            self.discard(self._idle.popleft())  # frees a slot for a connection that this request may use
         return found
 
     async def _connect(self) -> WorkerConnection:
@@ -137,7 +140,7 @@
             stream = await connect(self.address, CONNECT_TIMEOUT_S)
         except (OSError, TimeoutError) as error:
             self._release_slot()
-            self.close_idle()  # where no connection can be opened, the idle ones may be lost too
+            self.close_idle()  # if no connection can be opened, the idle connections may be broken too
             raise WorkerConnectError(str(error) or type(error).__name__) from error
         except BaseException:
             self._release_slot()
@@ -170,7 +173,7 @@
                 return
 
     def release(self, connection: WorkerConnection) -> None:
-        """Return a connection to the pool; it is kept where its worker keeps it and nothing follows its last answer."""
+        """Return a connection to the pool, or discard it if the worker closes it or bytes follow its last answer."""
         if self._retired or connection.closing or not connection.http.is_idle() or not connection.is_clean:
             self.discard(connection)
             return
@@ -180,7 +183,7 @@
         self._wake_one()
 
     def discard(self, connection: WorkerConnection) -> None:
-        """Close a connection by a reset."""
+        """Close a connection by a TCP reset."""
         connection.closing = True
         connection.stream.abort()
 
@@ -194,14 +197,14 @@
         self._wake_one()
 
     def close_idle(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections without a reset."""
         while self._idle:
             connection = self._idle.pop()
             connection.closing = True
             connection.stream.close_gracefully()
 
     def retire(self) -> None:
-        """Keep no connection from now on; requests in flight go on."""
+        """Close all idle connections, and each other connection after its request in flight has ended."""
         self._retired = True
         self.close_idle()
         while self._waiting:
@@ -209,18 +212,18 @@
 
 
 class WorkerConnections:
-    """The pools of all workers in the endpoint list."""
+    """Connection pools of all workers in the endpoint list, by worker."""
 
     def __init__(self) -> None:
         self._pools: dict[str, WorkerPool] = {}
         self.opened = 0
 
     def pool(self, worker: str) -> WorkerPool | None:
-        """Return the pool of a worker, or None where it is not in the endpoint list."""
+        """Return the pool of a worker, or None if the worker is not in the endpoint list."""
         return self._pools.get(worker)
 
     def set_worker(self, worker: str, address: Address, max_connections: int) -> None:
-        """Add or change a worker; `max_connections` bounds this node's connections to it."""
+        """Add or update a worker; `max_connections` is the maximum number of connections from this node."""
         pool = self._pools.get(worker)
         if pool is not None and pool.address != address:
             pool.retire()
@@ -231,13 +234,13 @@
             pool.max_connections = max_connections
 
     def remove_worker(self, worker: str) -> None:
-        """Remove a worker; requests in flight to it go on."""
+        """Remove a worker; requests in flight at the worker continue."""
         pool = self._pools.pop(worker, None)
         if pool is not None:
             pool.retire()
 
     def close_idle(self, worker: str) -> None:
-        """Close a worker's idle connections."""
+        """Close a worker's idle connections without a reset."""
         pool = self._pools.get(worker)
         if pool is not None:
             pool.close_idle()
@@ -246,11 +249,11 @@
         self.opened += 1
 
     def close(self) -> None:
-        """Close all idle connections, at the end of the process."""
+        """Remove all workers and close all idle connections when the process ends."""
         for worker in tuple(self._pools):
             self.remove_worker(worker)
 
 
 def connections_per_node(max_connections: int, live_nodes: int) -> int:
-    """Return how many connections to one worker each of the live nodes may hold."""
+    """Return the maximum number of connections to one worker for each of the live nodes."""
     return max(min(MIN_CONNECTIONS, max_connections), max_connections // max(1, live_nodes))
--- a/canvasbeam/data_plane/worker_endpoints.py
+++ b/canvasbeam/data_plane/worker_endpoints.py
@@ -1,6 +1,6 @@
-"""The workers in the endpoint list, as far as sending requests to them goes.
+"""Store the endpoints of the workers to which the router may send requests.
 
-`WorkerEndpoints` owns the table for the router; `endpoint_list.py` makes its entries from the item table.
+`WorkerEndpoints` owns the router's table of endpoints; `endpoint_list.py` creates the endpoints from the item table.
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerEndpoint:
-    """A worker as the dispatcher knows it, and the path of its health check."""
+    """A worker's discovery entry for the dispatcher, and the HTTP path of the worker's health check."""
 
     entry: WorkerEntry
     health_check: str
 
     @property
     def is_live(self) -> bool:
-        """Whether new requests may be sent to it."""
+        """True if new requests may be sent to the worker."""
         return self.entry.state is WorkerState.LIVE
 
 
 class WorkerEndpoints:
-    """The endpoints by the name of their worker."""
+    """Table of endpoints, by worker."""
 
     def __init__(self) -> None:
         self._by_worker: dict[str, WorkerEndpoint] = {}
 
     def apply(self, endpoints: Iterable[WorkerEndpoint]) -> WorkersListed:
-        """Take changed endpoints; return the event that tells the dispatcher of them."""
+        """Apply changed endpoints, and return the event that notifies the dispatcher of the changes."""
         entries = []
         for endpoint in endpoints:
             entry = endpoint.entry
@@ -43,19 +43,19 @@
         return WorkersListed(ListKind.CHANGES, tuple(entries))
 
     def as_event(self) -> WorkersListed:
-        """Return the event that tells a new dispatcher of all workers."""
+        """Return the event that gives a new dispatcher the complete list of workers."""
         return WorkersListed(ListKind.COMPLETE, tuple(endpoint.entry for endpoint in self._by_worker.values()))
 
     def get(self, worker: str) -> WorkerEndpoint | None:
-        """Return the endpoint of a worker, or None where it was removed."""
+        """Return the endpoint of a worker, or None if the worker is not in the table."""
         return self._by_worker.get(worker)
 
     def is_live(self, worker: str) -> bool:
-        """Return whether new requests may be sent to a worker."""
+        """Return True if new requests may be sent to a worker."""
         endpoint = self._by_worker.get(worker)
         return endpoint is not None and endpoint.is_live
 
     @property
     def live_count(self) -> int:
-        """Workers to which new requests may be sent."""
+        """Number of workers to which new requests may be sent."""
         return sum(endpoint.is_live for endpoint in self._by_worker.values())
--- a/canvasbeam/data_plane/worker_records.py
+++ b/canvasbeam/data_plane/worker_records.py
@@ -1,6 +1,6 @@
-"""What a worker item says of its worker, as far as sending requests to it goes.
+"""Decode the fields of a worker item that the data plane needs for sending requests to the worker.
 
-It only decodes; whether a worker is sent requests is decided by `endpoint_list.py`.
+This module only decodes; `endpoint_list.py` decides whether a worker receives requests.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerRecord:
-    """A worker as its last heartbeat described it."""
+    """State of a worker according to the worker's latest published heartbeat."""
 
     service: str
     address: Address
@@ -24,11 +24,11 @@
     slots: int
     ready: bool
     warm_up_remaining_ms: int = 0
-    models: tuple[str, ...] = ()  # and their adapters
+    models: tuple[str, ...] = ()  # names of the loaded models and of the models' adapters
 
 
 def decode_worker(item: Item) -> WorkerRecord | Failure:
-    """Read a worker item; the failure is `MESSAGE_INVALID` where it cannot be read."""
+    """Return the decoded worker item, or a `Failure` with the code `MESSAGE_INVALID` if the item is malformed."""
     worker = worker_of(item)
     if isinstance(worker, Failure):
         return worker
--- a/canvasbeam/data_plane/worker_request.py
+++ b/canvasbeam/data_plane/worker_request.py
@@ -1,6 +1,7 @@
-"""The request as a worker gets it for one attempt: its headers are the client's, but for those of this attempt.
+"""Build the request that is written to a worker for one attempt, from the client's request.
 
-Headers that this module does not set pass unchanged. It reads the clock's time as a parameter and keeps no state.
+For each attempt, the headers in `REPLACED_HEADERS` and the `Last-Event-ID` of a resumed stream are replaced or dropped;
+all other headers are forwarded unchanged. The caller supplies the current time, and this module keeps no state.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 def worker_request(request: ClientRequest, worker: str, now_ns: int) -> WorkerRequest:
-    """Return the request as a worker gets it, with what is left until its deadline at `now_ns`."""
+    """Return the request as written to a worker, with the time left from `now_ns` until the deadline."""
     return WorkerRequest(
         request.identity,
         request.method,
