--- a/canvasbeam/data_plane/attempt_runner.py
+++ b/canvasbeam/data_plane/attempt_runner.py
@@ -140,21 +140,21 @@
             pool.discard(connection)
         if not result.written:
             request.attempts_written -= 1
-        await self._conclude(attempt, result)
+        await self._handle_result(attempt, result)
 
-    async def _conclude(self, attempt: Attempt, result: ExchangeResult) -> None:
+    async def _handle_result(self, attempt: Attempt, result: ExchangeResult) -> None:
         """Send the worker's answer to the client, or report the failed attempt to the dispatcher for a retry."""
         request = attempt.dispatch.request
         if attempt.ended:
             return
         if result.stream_began:
-            await self._conclude_stream(attempt, result)
+            await self._handle_stream_result(attempt, result)
         elif result.answer is not None and result.outcome in (Outcome.OK, Outcome.MOOT):
             self._end(attempt, result.outcome, final=True)
             if request.answer.state is AnswerState.WAITING:
                 self._outcomes.record_answer(request)
                 await request.answer.send_complete(result.answer)
-                self._count_served(request)
+                self._notify_served(request)
             else:
                 request.answer.abort()
             self._requests.close(request)
@@ -164,12 +164,12 @@
             if attempt.dispatch.awaits_worker:
                 self._requests.fail(request)
 
-    async def _conclude_stream(self, attempt: Attempt, result: ExchangeResult) -> None:
+    async def _handle_stream_result(self, attempt: Attempt, result: ExchangeResult) -> None:
         request = attempt.dispatch.request
         self._end(attempt, result.outcome, final=True)
         if result.outcome is Outcome.OK:
             await request.answer.finish()
-            self._count_served(request)
+            self._notify_served(request)
             self._requests.close(request)
         elif can_resume(request):
             log.info("stream resumed at=another worker", extra={"request_id": request.identity.decode()})
@@ -178,7 +178,7 @@
             request.answer.abort()
             self._requests.close(request)
 
-    def _count_served(self, request: ClientRequest) -> None:
+    def _notify_served(self, request: ClientRequest) -> None:
         if self._on_served is not None:
             self._on_served(request)
 
--- a/canvasbeam/data_plane/endpoint_list.py
+++ b/canvasbeam/data_plane/endpoint_list.py
@@ -98,12 +98,12 @@
         return endpoint
 
     def _entry(self, item: Item, record: WorkerRecord) -> WorkerEntry:
-        takes_requests = record.ready and record.zone not in self._view.evacuated_zones
+        accepts_requests = record.ready and record.zone not in self._view.evacuated_zones
         return WorkerEntry(
             worker=item.key,
             zone=self._regions.get(record.zone, record.zone),
             kind=record.service,
-            state=WorkerState.LIVE if takes_requests else WorkerState.DRAINING,
+            state=WorkerState.LIVE if accepts_requests else WorkerState.DRAINING,
             slots=record.slots,
             cold_until_ns=self._warm_up_end_ns(item, record),
             models=record.models,
--- a/canvasbeam/data_plane/exchange.py
+++ b/canvasbeam/data_plane/exchange.py
@@ -82,14 +82,14 @@
         self._connection = connection
         self._request = request
         self._sink = sink
-        self._written_before = connection.stream.bytes_written
+        self._bytes_written_before = connection.stream.bytes_written
         self._reusable = False
         self.stream_began = False
 
     @property
     def written(self) -> bool:
         """True if any byte of the request was passed to the kernel."""
-        return self._connection.stream.bytes_written > self._written_before
+        return self._connection.stream.bytes_written > self._bytes_written_before
 
     async def run(self) -> ExchangeResult:
         """Send the request and read the answer; afterwards the connection must be discarded unless `reusable`."""
@@ -111,7 +111,7 @@
         self._apply_connection_headers(headers)
         self._check_head(response.status, headers)
         if self._request.streams and response.status == 200 and _is_event_stream(headers):
-            return await self._pass_events(response, headers)
+            return await self._forward_events(response, headers)
         body = await self._read_body(response)
         await self._finish(response)
         return self._classify(response.status, headers, body)
@@ -139,8 +139,8 @@
             raise _InvalidAnswerError(f"the status of the answer is {status}, expected at least 200")
         identity = find_header(headers, REQUEST_ID)
         rejected = status == MISDIRECTED or find_header(headers, NOT_EXECUTED) is not None
-        is_ours_without_id = identity is None and rejected and self._connection.is_first_use
-        if identity != self._request.identity and not is_ours_without_id:
+        is_accepted_without_id = identity is None and rejected and self._connection.is_first_use
+        if identity != self._request.identity and not is_accepted_without_id:
             raise _InvalidAnswerError(f"the answer is for request {identity!r}, expected {self._request.identity!r}")
         if find_header(headers, b"content-encoding") is not None:
             raise _InvalidAnswerError("the answer has a Content-Encoding header, expected an unencoded body")
@@ -173,24 +173,24 @@
             return ExchangeResult(Outcome.ERROR)
         return ExchangeResult(Outcome.ERROR if status >= 500 else Outcome.OK, answer)
 
-    async def _pass_events(self, response: httpcore.Response, headers: Headers) -> ExchangeResult:
+    async def _forward_events(self, response: httpcore.Response, headers: Headers) -> ExchangeResult:
         if find_header(headers, SEAL) is None:
             raise _InvalidAnswerError("the event stream has no X-Response-Seal header")
         splitter = EventSplitter()
         async for chunk in _chunks(response):
             events = splitter.feed(chunk)
             if events:
-                await self._begin(headers)
+                await self._begin_stream(headers)
                 await self._sink.send_events(events)
         if not _is_framed(headers) and (splitter.partial or not self.stream_began):
             raise _InvalidAnswerError("the connection ended within an event or before the first event")
-        await self._begin(headers)
+        await self._begin_stream(headers)
         if splitter.partial:
             await self._sink.send_remainder(splitter.partial)
         await self._finish(response)
         return ExchangeResult(Outcome.OK, None, True, True)
 
-    async def _begin(self, headers: Headers) -> None:
+    async def _begin_stream(self, headers: Headers) -> None:
         if not self.stream_began:
             self.stream_began = True
             await self._sink.begin(200, _answer_headers(headers, None))
--- a/canvasbeam/data_plane/health_check.py
+++ b/canvasbeam/data_plane/health_check.py
@@ -25,14 +25,14 @@
     try:
         async with asyncio.timeout(HEALTH_CHECK_TIMEOUT_S):
             connection = await pool.acquire(unsafe=False)
-            return await _ask(pool, connection, worker, path)
+            return await _send_check(pool, connection, worker, path)
     except WorkerConnectError:
         return Outcome.CONNECT_FAILED
     except TimeoutError:
         return Outcome.TIMED_OUT
 
 
-async def _ask(pool: WorkerPool, connection: WorkerConnection, worker: str, path: str) -> Outcome:
+async def _send_check(pool: WorkerPool, connection: WorkerConnection, worker: str, path: str) -> Outcome:
     address = pool.address
     url = httpcore.URL(scheme=b"http", host=address.host, port=address.port, target=path)
     try:
@@ -52,6 +52,6 @@
         pool.discard(connection)  # surplus answer to an earlier request; the answer to the check is outstanding
         return Outcome.BROKEN
     pool.release(connection)
-    named = headers.get(b"x-instance")
-    is_healthy = response.status == 200 and named in (None, worker.encode())
+    answering_worker = headers.get(b"x-instance")
+    is_healthy = response.status == 200 and answering_worker in (None, worker.encode())
     return Outcome.OK if is_healthy else Outcome.ERROR
--- a/canvasbeam/data_plane/network_stream.py
+++ b/canvasbeam/data_plane/network_stream.py
@@ -173,7 +173,7 @@
     loop = asyncio.get_running_loop()
     connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        _prepare(connection)
+        _set_socket_options(connection)
         async with asyncio.timeout(timeout_s):
             await loop.sock_connect(connection, (address.host, address.port))
         _, stream = await loop.create_connection(WorkerStream, sock=connection)
@@ -183,7 +183,7 @@
     return stream
 
 
-def _prepare(connection: socket.socket) -> None:
+def _set_socket_options(connection: socket.socket) -> None:
     connection.setblocking(False)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/canvasbeam/data_plane/outcomes.py
+++ b/canvasbeam/data_plane/outcomes.py
@@ -111,7 +111,7 @@
     attempts: int,
 ) -> RequestOutcome:
     """Return the outcome of a request that ends at `now_ns`."""
-    took_ns = times.first_answer_ns - times.last_sent_ns if times.first_answer_ns and times.last_sent_ns else 0
+    answer_time_ns = times.first_answer_ns - times.last_sent_ns if times.first_answer_ns and times.last_sent_ns else 0
     return RequestOutcome(
         request_class,
         ring,
@@ -121,7 +121,7 @@
         (times.first_sent_ns or now_ns) - times.arrived_ns,
         times.first_answer_ns - times.arrived_ns if times.first_answer_ns else 0,
         times.expected_ns,
-        max(0, took_ns - times.expected_ns) if times.expected_ns else 0,
+        max(0, answer_time_ns - times.expected_ns) if times.expected_ns else 0,
     )
 
 
@@ -152,8 +152,8 @@
         return Cause.RETRIED
     if times.written_ns - times.last_sent_ns > decisive_ns:
         return Cause.SLOW_CONNECTION
-    took_ns = times.first_answer_ns - times.last_sent_ns
-    if not times.expected_ns or took_ns - times.expected_ns > decisive_ns:
+    answer_time_ns = times.first_answer_ns - times.last_sent_ns
+    if not times.expected_ns or answer_time_ns - times.expected_ns > decisive_ns:
         return Cause.SLOWER_THAN_EXPECTED
     return Cause.NO_WORKER_IN_TIME
 
--- a/canvasbeam/data_plane/worker_connections.py
+++ b/canvasbeam/data_plane/worker_connections.py
@@ -118,7 +118,7 @@
 
     def _take_idle(self, unsafe: bool, identity: bytes | None) -> WorkerConnection | None:
         now = self._loop.time()
-        kept: list[WorkerConnection] = []
+        usable: list[WorkerConnection] = []
         found = None
         while self._idle and found is None:
             connection = self._idle.pop()
@@ -126,11 +126,11 @@
             if is_usable and identity not in connection.recent_request_ids:
                 found = connection
             elif is_usable or (unsafe and connection.may_be_reused(now, unsafe=False)):
-                kept.append(connection)
+                usable.append(connection)
             else:
                 self.discard(connection)
-        self._idle.extend(reversed(kept))
-        if found is None and kept and self._open >= self.max_connections:
+        self._idle.extend(reversed(usable))
+        if found is None and usable and self._open >= self.max_connections:
             self.discard(self._idle.popleft())  # frees a slot for a connection that this request may use
         return found
 
