--- a/canvasbeam/data_plane/dispatcher_driver.py
+++ b/canvasbeam/data_plane/dispatcher_driver.py
@@ -65,7 +65,7 @@
         try:
             actions = self._dispatcher.handle(self._now_ns(), events)
         except Exception:
-            log.exception("dispatcher failed action=restarted")
+            log.exception("dispatcher failed action=started anew")
             self._restart()
             return
         for action in actions:
