--- a/canvasbeam/data_plane/dispatcher_settings.py
+++ b/canvasbeam/data_plane/dispatcher_settings.py
@@ -19,7 +19,7 @@
 RETRY_ADVICE_NS = 300 * MILLISECOND
 # Share of the latency target after which a request that finds no worker is rejected. The share is below a quarter,
 # because the retry of an early rejected request is worth more than a later answer.
-HOLD_SHARE = 0.18
+EARLY_REJECTION_SHARE = 0.18
 # Round-robin turns that a worker with an earlier expected first token may be ahead of the other workers.
 MAX_FIRST_TOKEN_LEAD_TURNS = 4.0
 
@@ -45,7 +45,7 @@
         quantum_ns=QUANTUM_NS,
         priority_first=True,
         batches=True,
-        early_rejection_share=HOLD_SHARE,
+        early_rejection_share=EARLY_REJECTION_SHARE,
         max_round_robin_lead=MAX_FIRST_TOKEN_LEAD_TURNS,
         limits=limits,
     )
--- a/tests/dispatch/test_class_priority.py
+++ b/tests/dispatch/test_class_priority.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from canvasbeam.data_plane.dispatcher_settings import HOLD_SHARE
+from canvasbeam.data_plane.dispatcher_settings import EARLY_REJECTION_SHARE
 from canvasbeam.dispatch.actions import Action, StartAttempt
 from canvasbeam.dispatch.settings import Effect, RequestClass
 from tests.dispatch.test_system_placement import CHAT, SystemDriver, prompt, worker
@@ -49,7 +49,7 @@
     """Return the served share of each class's requests, with `load` as a multiple of the workers' capacity."""
     system = SystemDriver(
         worker("a", slots=SLOTS), worker("b", slots=SLOTS), classes=tuple(kind.job_class for kind in kinds),
-        early_rejection_share=HOLD_SHARE, priority_first=priority_first,
+        early_rejection_share=EARLY_REJECTION_SHARE, priority_first=priority_first,
     )  # fmt: skip
     rng = random.Random(seed)
     arrived: Counter[str] = Counter()
