--- a/canvasbeam/control_plane/change_check.py
+++ b/canvasbeam/control_plane/change_check.py
@@ -1,7 +1,7 @@
-"""Check large changes beside the event loop, so that heartbeats go on meanwhile.
+"""Check large changes in a thread, so that the event loop keeps sending heartbeats during a check.
 
-The structure of a change does not depend on the state: once checked, it need not be checked again where the change is
-applied, on the primary and on the other replicas.
+The structure of a change does not depend on the control state: after a change has passed the check once, the primary
+and the other replicas can apply the change without checking its structure again.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 
 class ChangeCheck:
-    """The `ApplyChange` of a primary. Owns the set of changes that were checked beforehand."""
+    """The `ApplyChange` function of a primary. Owns the set of changes whose structure was checked in advance."""
 
     def __init__(self, apply: ApplyChange, apply_checked: ApplyChange) -> None:
         self._apply = apply
         self._apply_checked = apply_checked
-        self._checked: dict[int, Change] = {}  # by identity, while their calls last
+        self._checked: dict[int, Change] = {}  # changes that passed the check, by `id()`, until `end`
 
     async def begin(self, state: ControlState, change: Change) -> None:
-        """Check a large change in a thread; one that fails is checked once more where it is applied."""
+        """Check a large change in a thread; a change that fails the check is checked again when it is applied."""
         if len(change.body) < LARGE_BYTES:
             return
         outcome = await asyncio.to_thread(self._apply, state, change)
@@ -32,10 +32,10 @@
             self._checked[id(change)] = change
 
     def end(self, change: Change) -> None:
-        """Forget the check of a change, whose call is over."""
+        """Discard the check result of a change after the call that submitted the change has ended."""
         self._checked.pop(id(change), None)
 
     def apply(self, state: ControlState, change: Change) -> ControlState | Failure:
-        """Apply a change, without the check that it has had."""
+        """Apply a change, and skip the structure check if `begin` has already done it."""
         apply = self._apply_checked if id(change) in self._checked else self._apply
         return apply(state, change)
--- a/canvasbeam/control_plane/changes.py
+++ b/canvasbeam/control_plane/changes.py
@@ -1,12 +1,14 @@
-"""Apply an operator's change to the control state: the function that all replicas share.
+"""Apply an operator's change to the control state: the state transition function of all replicas.
 
-`apply` is pure and deterministic: every replica applies the same changes in the same order and gets the same state. It
-must use no clock, no randomness and no order of a set. Where a change had been applied before, the same state object is
-returned: there is nothing to store, and the change is acknowledged once more. That holds after a failover too, because
-the keys of the changes that were taken are part of the state (`ControlState.applied_change_keys`).
+`apply` is pure and deterministic: every replica applies the same changes in the same order and gets the same state. The
+function must use no clock, no randomness and no iteration order of a set, because replicas would diverge otherwise. For
+a change that was applied before, `apply` returns the same state object: nothing needs to be stored, and the change is
+acknowledged once more. Such duplicates are recognized after a failover too, because the keys of applied changes are
+part of the state (`ControlState.applied_change_keys`).
 
-A failure that this module returns is either true for good, or of a code in `OPEN_FAILURES`: the change was not taken,
-but a copy of it still may be, or may have been long ago. Only the former may be reported to an operator as rejected.
+A failure returned by this module is either final, or has a code in `OPEN_FAILURES`. A final failure holds for every
+copy of the change. After an open failure, another copy of the same change may still be applied later, or may have been
+applied long ago. Only a final failure may be reported to an operator as a rejection.
 """
 
 from __future__ import annotations
@@ -22,21 +24,21 @@
 from canvasbeam.errors import Failure, ResultCode
 from canvasbeam.replication.control_state import Change, ChangeKind, ControlState
 
-MAX_APPLIED_CHANGE_KEYS = 1024  # keys of changes in the state, the newest ones
+MAX_APPLIED_CHANGE_KEYS = 1024  # maximum number of change keys in the state; the oldest are dropped
 KEY_VERSION_BYTES = 8
-KEY_DIGEST_BYTES = 12  # collisions by chance are out of the question among `MAX_APPLIED_CHANGE_KEYS` keys
+KEY_DIGEST_BYTES = 12  # a random collision among `MAX_APPLIED_CHANGE_KEYS` digests is practically impossible
 CHANGE_KEY_BYTES = KEY_VERSION_BYTES + KEY_DIGEST_BYTES
 OPEN_FAILURES = frozenset({ResultCode.CONFIG_UNKNOWN_MATCH, ResultCode.CONFIG_FORGOTTEN})
 NOTHING_CONFIGURED: Mapping[str, JsonValue] = {}
 
 
 def apply(state: ControlState, change: Change) -> ControlState | Failure:
-    """Return the state after a change, the same object where the change had been applied before, or a failure."""
+    """Return the state after a change, or a failure; return the same object if the change was applied before."""
     return _apply(state, change, check_structure=True)
 
 
 def apply_checked(state: ControlState, change: Change) -> ControlState | Failure:
-    """Do the same for a change whose structure was checked before, which is most of the work on a large one."""
+    """Apply a change as `apply` does, but skip the structure check, which is most of the work for a large change."""
     return _apply(state, change, check_structure=False)
 
 
@@ -49,14 +51,14 @@
 
 
 def change_key(change: Change) -> bytes:
-    """Return what makes two configuration changes the same one: the version they build on, and a digest of the rest."""
+    """Return the key by which copies of a configuration change are recognized: base version, and digest of the rest."""
     version = change.if_match.to_bytes(KEY_VERSION_BYTES)
     head = f"{int(change.kind)}\0".encode()
     return version + blake2b(head + change.body, digest_size=KEY_DIGEST_BYTES).digest()
 
 
 def _version_of(key: bytes) -> int:
-    """Return the version that a change builds on."""
+    """Return the base version (`If-Match`) in the key of a change."""
     return int.from_bytes(key[:KEY_VERSION_BYTES])
 
 
@@ -89,10 +91,10 @@
 
 
 def _may_be_forgotten(state: ControlState, change: Change) -> bool:
-    """Return whether the change could have been taken so long ago that its key was dropped.
+    """Return True if the change may have been applied so long ago that the state no longer keeps its key.
 
-    Each change that is taken builds on a higher version than the one before, so the dropped ones built on lower ones
-    than the oldest that is kept, or on the same.
+    Each applied change has a higher base version than the change applied before it, so the base version of every
+    dropped key is lower than, or equal to, the base version of the oldest key that is kept.
     """
     if len(state.applied_change_keys) < MAX_APPLIED_CHANGE_KEYS:
         return False
@@ -100,9 +102,10 @@
 
 
 def _is_current_configuration(state: ControlState, change: Change, document: JsonValue) -> bool:
-    """Return whether the change requests the configuration in force, on the version that this one was built on.
+    """Return True if the change requests the current configuration and has the same base version as that configuration.
 
-    It is then taken too, and remembered as taken. On any other version it would be a second winner of that version.
+    Such a change is acknowledged, and its key is kept as the key of an applied change. With any other base version, two
+    different changes of the same base version would both be acknowledged.
     """
     if change.kind is not ChangeKind.PUT_CONFIGURATION or not state.applied_change_keys:
         return False
@@ -112,9 +115,10 @@
 
 
 def _check_match(state: ControlState, change: Change) -> Failure | None:
-    """Return the failure of a change that builds on another version than the current one.
+    """Return a failure if the base version of a change is not the current version.
 
-    An older version never returns, so that failure holds for every copy of the change. A higher one may still come.
+    An older version never becomes current again, so `CONFIG_STALE_MATCH` holds for every copy of the change. A higher
+    version may still become current, so `CONFIG_UNKNOWN_MATCH` is an open failure.
     """
     if change.if_match == state.generation:
         return None
@@ -126,7 +130,7 @@
 def _next_configuration(
     state: ControlState, kind: ChangeKind, document: JsonValue, check_structure: bool
 ) -> Mapping[str, JsonValue] | Failure:
-    """Return the configuration that a change requests, checked completely."""
+    """Return the configuration that a change requests, or the failure of the first check that rejects it."""
     if kind is ChangeKind.PATCH_CONFIGURATION:
         failure = check_patch(document) if check_structure else None
         if failure is not None:
--- a/canvasbeam/control_plane/configuration_patch.py
+++ b/canvasbeam/control_plane/configuration_patch.py
@@ -1,7 +1,7 @@
 """Compare and combine configurations by the names of their items.
 
-Pure, and deterministic as everything is that replicas apply. The documents may be of any structure until
-`configuration_schema` has checked them, so nothing here relies on it but `patched`, whose patch has been checked.
+Pure and deterministic, as is all code by which replicas apply changes. Documents may have any structure until
+`configuration_schema` has checked them, so only `patched` relies on structure, that of its patch, which was checked.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 
 from canvasbeam.control_plane.json_documents import JsonValue
 
-_ABSENT = object()  # equal to no item
+_ABSENT = object()  # placeholder for a missing item; compares unequal to every item
 
 
 def without_known_items(document: JsonValue, current: Mapping[str, JsonValue]) -> JsonValue:
-    """Return a document without the items that stand alike in the current configuration, which has been checked.
+    """Return a document without the items that the current, already checked configuration contains unchanged.
 
-    Most changes concern a few of many items, and the check of one takes a third of a millisecond.
+    Most changes concern a few of many items, and the check of one item takes a third of a millisecond.
     """
     if not isinstance(document, dict):
         return document
@@ -31,12 +31,12 @@
 
 
 def _is_identical(item: JsonValue, known: JsonValue) -> bool:
-    """Return whether two items are equal, in their types too: 1, 1.0 and true pass different checks."""
+    """Return True if two items are equal in value and type: 1, 1.0 and True are equal, but pass different checks."""
     return bool(item == known) and repr(item) == repr(known)
 
 
 def patched(base: Mapping[str, JsonValue], patch: Mapping[str, JsonValue]) -> dict[str, JsonValue]:
-    """Return a configuration with named items removed, replaced in their places, and added at the end."""
+    """Return the base configuration with a patch applied: named items are removed, replaced in place, or appended."""
     configuration = {**base, "generation": patch["generation"]}
     if "limits" in patch:
         configuration["limits"] = patch["limits"]
@@ -51,9 +51,9 @@
 
 
 def _upserted(items: list[JsonValue], changed: list[JsonValue]) -> list[JsonValue]:
-    """Return the items with the changed ones in their places, or at the end where there was none of the name.
+    """Return the items with each changed item in the place of the item of the same name, or else at the end.
 
-    Items of a name that stands twice in `changed` are both added, for the rules to find.
+    If `changed` contains a name twice, both items are included, so that `configuration_rules` reports the duplicate.
     """
     not_placed = {item["name"]: item for item in reversed(changed)}
     first_of = dict(not_placed)
@@ -63,7 +63,7 @@
 
 
 def _items(configuration: Mapping[str, JsonValue], field: str) -> list[JsonValue]:
-    """Return the list of a field; one that is missing or no list counts as empty."""
+    """Return the list in a field, or an empty list if the field is missing or not a list."""
     items = configuration.get(field)
     return items if isinstance(items, list) else []
 
--- a/canvasbeam/control_plane/configuration_rules.py
+++ b/canvasbeam/control_plane/configuration_rules.py
@@ -1,6 +1,6 @@
-"""Check the rules that relate the parts of a configuration to each other; its structure has been checked before.
+"""Check the rules between the parts of a configuration whose structure `configuration_schema` has checked.
 
-Pure and deterministic: every replica checks the same.
+Pure and deterministic: every replica gets the same result.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def check_rules(configuration: Configuration) -> Failure | None:
-    """Return the failure of the first rule that a configuration breaks."""
+    """Return the failure of the first rule that a configuration breaks, or None."""
     for rule in _RULES:
         failure = rule(configuration)
         if failure is not None:
@@ -99,7 +99,7 @@
 
 
 def _keys_of(tenant: Mapping[str, JsonValue]) -> set[str]:
-    """Return the keys by which requests of a tenant are known, each once."""
+    """Return the API keys that identify the requests of a tenant, without duplicates."""
     keys: set[str] = set()
     for field in TENANT_KEY_FIELDS:
         value = tenant.get(field)
--- a/canvasbeam/control_plane/configuration_schema.py
+++ b/canvasbeam/control_plane/configuration_schema.py
@@ -1,8 +1,8 @@
 """Check the structure of an operator's configuration and patch by JSON schemas (draft 2020-12).
 
-Fields that are not named here are allowed anywhere: a later release of the operator's tools may send more. The rules
-that relate fields to each other are in `configuration_rules`. `jsonschema` is imported with the first check, because it
-takes more memory than the rest of this package.
+Unknown fields are allowed in every object, because a later release of the operator's tools may send more fields. Rules
+that relate fields to each other are in `configuration_rules`. `jsonschema` is imported at the first check, because the
+library takes more memory than the rest of this package.
 """
 
 from __future__ import annotations
@@ -88,12 +88,12 @@
 
 
 def check_configuration(document: JsonValue) -> Failure | None:
-    """Return the failure of the first way in which a document is not a configuration."""
+    """Return the failure for the first violation of the configuration schema in a document, or None."""
     return _check(_configuration_validator(), document)
 
 
 def check_patch(document: JsonValue) -> Failure | None:
-    """Return the failure of the first way in which a document is not a patch of a configuration."""
+    """Return the failure for the first violation of the patch schema in a document, or None."""
     return _check(_patch_validator(), document)
 
 
@@ -108,7 +108,7 @@
 
 
 def _validator(schema: Schema) -> Validator:
-    from jsonschema import Draft202012Validator  # noqa: PLC0415  # see the module's docstring
+    from jsonschema import Draft202012Validator  # noqa: PLC0415  # imported on first use to save memory
 
     return Draft202012Validator(schema)
 
--- a/canvasbeam/control_plane/directory.py
+++ b/canvasbeam/control_plane/directory.py
@@ -1,7 +1,7 @@
-"""Answer clients that ask which data-plane nodes to connect to, from this node's own item table.
+"""Serve the addresses of data-plane nodes to clients, from the item table of this control node.
 
-Whom a client gets is decided by `canvasbeam.service_discovery.directory`. A node that no other reaches answers 503:
-what it knows may be old.
+`canvasbeam.service_discovery.directory` chooses the addresses. A control node without a recent answer from any other
+node answers 503, because its item table may be out of date.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from canvasbeam.service_discovery.directory import ClientLocation, DataPlaneNode, choose_addresses
 
 RESOLVE_PATH = "/v1/resolve"
-TTL_S = 1.0  # how long a client may use an answer; settings can only lower it
+TTL_S = 1.0  # seconds for which a client may use an answer; the setting `bounds.ttl_max_s` can only lower it
 
 
 class Directory:
@@ -35,7 +35,7 @@
         self._is_reachable = is_reachable
 
     async def resolve(self, request: Request) -> Answer:
-        """Answer with the fronts of the data-plane nodes that are alive and ready, those near the client first."""
+        """Answer with the addresses of data-plane nodes for a client, nearest first, or with 503 if there are none."""
         if request.path != RESOLVE_PATH:
             return Answer(404)
         if request.method != "GET":
--- a/canvasbeam/control_plane/evacuation_fence.py
+++ b/canvasbeam/control_plane/evacuation_fence.py
@@ -1,14 +1,15 @@
-"""Keep delayed copies of evacuation requests from undoing newer ones.
-
-An evacuation has no number: a copy of POST that arrives after a DELETE was acknowledged looks like a new request. But
-its connection bounds its age. A caller sends a request only after its connection was opened, and after it has read the
-answer to the request before. So a request is younger than the moment when its connection became idle, by this node's
-clock.
-
-Let a request be acknowledged, then the opposite one for its zone be sent. A copy of the former was sent before this
-primary saw the latter, and its connection had become idle before. So a request whose connection became idle before the
-opposite one was seen, or before this node became the primary, may be such a copy. It has no effect; its caller, if
-there still is one, is asked to retry on a new connection.
+"""Reject delayed copies of evacuation requests, which would undo newer requests.
+
+Evacuation requests have no sequence number: a delayed copy of a POST that arrives after a DELETE was acknowledged looks
+like a new request. The connection bounds the age of a request, because a caller sends a request only after opening the
+connection and after reading the answer to the previous request. A request was therefore sent after its connection last
+became idle, by this node's clock.
+
+Suppose a request is acknowledged, and the opposite request for the same zone is sent afterwards. Every copy of the
+first request was sent before this primary received the opposite request, and the connection of the copy became idle
+even earlier. A request may therefore be a delayed copy if its connection became idle before this node received the
+opposite request, or before this node became the primary. Such a request has no effect, and a caller that is still
+connected is asked to retry on a new connection.
 """
 
 from __future__ import annotations
@@ -24,24 +25,24 @@
 
 
 class EvacuationFence:
-    """Owns the times, in seconds, at which one node saw evacuation requests as the primary."""
+    """Owns the times, in seconds, at which this node received evacuation requests while it was the primary."""
 
     def __init__(self) -> None:
         self._primary_since_s = -math.inf
         self._seen_at_s: dict[tuple[ChangeKind, str], float] = {}
 
     def become_primary(self, now: float) -> None:
-        """Begin to be the primary: what others saw before is not known here."""
+        """Record the time at which this node became the primary; requests to earlier primaries are unknown here."""
         self._primary_since_s = now
 
     def record(self, change: Change, now: float) -> None:
-        """Record a request that is about to be carried out."""
+        """Record the receipt of an evacuation request, before the request is applied."""
         self._seen_at_s[change.kind, change.zone] = now
 
     def may_be_stale(self, change: Change, sent_after: float) -> bool:
-        """Return whether a request may have been sent before an opposite one that was seen already.
+        """Return True if a request may predate a received opposite request, or the time when this node became primary.
 
-        `sent_after` is the time at which its connection became idle.
+        `sent_after` is the time at which the connection of the request last became idle, in seconds.
         """
         opposite_seen_at_s = self._seen_at_s.get((OPPOSITE_KIND[change.kind], change.zone), -math.inf)
         return sent_after < max(self._primary_since_s, opposite_seen_at_s)
--- a/canvasbeam/control_plane/heartbeat_exchange.py
+++ b/canvasbeam/control_plane/heartbeat_exchange.py
@@ -1,9 +1,10 @@
-"""Exchange the numbers of received heartbeats between control nodes, and find out who is the registrar.
+"""Exchange the sequence numbers of received heartbeats between control nodes, and determine the registrar.
 
-Owns when each other control node was last received, and so which of them are in contact. The registrar is the first
-control node, by its key, of those in contact with this one, itself among them: it alone applies the time-outs of
-workers. It must not do so while numbers may have been missed (`has_missed_heartbeats`): heartbeats are announced to the
-registrar alone, so a control node that becomes the registrar, for whatever reason, knows nothing of those before.
+Owns the time of the last message from each other control node, which determines the control nodes in contact with this
+one. The registrar is the node with the lowest key among this node and the control nodes in contact with it; only the
+registrar applies the heartbeat timeouts of workers. The registrar must not apply timeouts while it may have missed
+sequence numbers (`has_missed_heartbeats`): heartbeats are announced only to the registrar, so a control node that
+becomes the registrar, for whatever reason, does not know the heartbeats announced before.
 """
 
 from __future__ import annotations
@@ -22,8 +23,8 @@
 from canvasbeam.service_discovery.worker_registry import ReceivedHeartbeat
 from canvasbeam.units import MILLISECOND, SECOND
 
-MAX_TICK_NS = 2 * SECOND  # more time between two ticks is a stall of this process
-CONTACT_TIMEOUT_NS = 3 * SECOND // 2  # a control node that announces nothing for this long is out of contact
+MAX_TICK_NS = 2 * SECOND  # a longer interval between two ticks means that this process was stalled
+CONTACT_TIMEOUT_NS = 3 * SECOND // 2  # a control node without an announcement for this long is out of contact
 RECENT_CONTACT_NS = 600 * MILLISECOND
 
 log = get_logger(__name__)
@@ -32,7 +33,7 @@
 
 
 class ExchangeNode(Protocol):
-    """What the exchange needs of `ClusterNode`."""
+    """The part of `ClusterNode` that the heartbeat exchange uses."""
 
     transport: Transport
 
@@ -41,16 +42,16 @@
         ...
 
     def peer_address(self, member: Member) -> Address:
-        """Return where a member takes messages."""
+        """Return the address at which a member receives messages from other nodes."""
         ...
 
     def has_recent_contact(self, within_ns: int) -> bool:
-        """Return whether the contact instant is within the last so many nanoseconds."""
+        """Return True if a majority has granted a contact lease requested in the last `within_ns` nanoseconds."""
         ...
 
 
 class HeartbeatExchange:
-    """The control nodes that announce heartbeats to each other, as one of them, at `own_ip`, sees it."""
+    """Exchanges heartbeat announcements between this control node, at `own_ip`, and the other control nodes."""
 
     def __init__(self, own_ip: str, node: ExchangeNode, clock: Callable[[], int], receiver: Receiver) -> None:
         self._own_ip = own_ip
@@ -58,19 +59,19 @@
         self._clock = clock
         self._receiver = receiver
         self._ticked_at_ns = clock()
-        self._last_received_at_ns: dict[str, int] = {}  # by the IP address of the other control node
+        self._last_received_at_ns: dict[str, int] = {}  # last announcement by IP address of the sending control node
         self._in_contact: frozenset[str] = frozenset()
-        self._was_registrar = False  # at the last tick
+        self._was_registrar = False  # whether this node was the registrar at the last tick
         node.transport.register(Channel.REGISTRY, self._on_message)
 
     def is_own(self, member: Member) -> bool:
-        """Return whether a member is this node."""
+        """Return True if a member is this node."""
         return member.ip == self._own_ip
 
     def announce(self, heartbeats: Iterable[ReceivedHeartbeat]) -> None:
-        """Send the heartbeats received here to the registrar, and to the other control nodes that this one takes part.
+        """Send the heartbeats received by this node to the registrar, and an empty announcement to other control nodes.
 
-        `HeardHeartbeats` and `HeardHeartbeat` are the wire's names.
+        The empty announcement keeps this node in contact. `HeardHeartbeats` and `HeardHeartbeat` are names on the wire.
         """
         message = WireHeartbeats(
             heartbeats=[WireHeartbeat(id=heartbeat.worker_id, sequence=heartbeat.sequence) for heartbeat in heartbeats]
@@ -81,7 +82,7 @@
         self._send([node for node in others if node != registrar], WireHeartbeats())
 
     def has_missed_heartbeats(self, now_ns: int) -> bool:
-        """Return whether the numbers of heartbeats that others received may be unknown here; for each tick once."""
+        """Return True if heartbeats received by other nodes may be unknown to this node; call exactly once per tick."""
         elapsed_ns, self._ticked_at_ns = now_ns - self._ticked_at_ns, now_ns
         has_stalled = elapsed_ns > MAX_TICK_NS
         has_contact_changed = self._update_contact(now_ns)
@@ -92,7 +93,7 @@
         return not self._node.has_recent_contact(RECENT_CONTACT_NS)
 
     def _update_contact(self, now_ns: int) -> bool:
-        """Find out which control nodes are in contact; return whether they are others than at the last tick."""
+        """Update the set of control nodes in contact with this node; return True if the set has changed."""
         former = self._in_contact
         self._in_contact = frozenset(
             ip
@@ -102,7 +103,7 @@
         return former != self._in_contact
 
     def is_registrar(self) -> bool:
-        """Return whether this node is the registrar, as far as it knows."""
+        """Return True if this node is the registrar according to its own view of the control nodes in contact."""
         registrar = self._registrar()
         return registrar is not None and self.is_own(registrar)
 
--- a/canvasbeam/control_plane/heartbeats.py
+++ b/canvasbeam/control_plane/heartbeats.py
@@ -1,7 +1,7 @@
-"""Check the body of a worker's heartbeat, and give it types.
+"""Check the JSON body of a worker's heartbeat, and convert the body to a `Heartbeat`.
 
-The one place that translates the names of the body: `seq` is `sequence`, `generation` `software_generation`,
-`cold_left_ms` `warm_up_left_ms`. Fields that are not known are ignored.
+Only this module translates field names of the body: `seq` is `sequence`, `generation` is `software_generation`, and
+`cold_left_ms` is `warm_up_left_ms`. Unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """What a worker reported, and the number by which a heartbeat that arrives out of order is known."""
+    """The state that a worker reported, and the sequence number that reveals heartbeats arriving out of order."""
 
     sequence: int
     worker: Worker
 
 
 class _RejectedError(Exception):
-    """A field breaks a rule; its text names both."""
+    """Raised if a field of a heartbeat is invalid; the message names the field and the violated rule."""
 
 
 def parse_heartbeat(body: bytes) -> Heartbeat | Failure:
-    """Return the heartbeat of a body, or a failure of code `REGISTRATION_INVALID` that names the field."""
+    """Return the heartbeat parsed from a body, or a `REGISTRATION_INVALID` failure that names the invalid field."""
     try:
         document = _object(json.loads(body))
         return Heartbeat(_integer(document, "seq", LEFT_SEQUENCE - 1), _worker(document))
--- a/canvasbeam/control_plane/home_regions.py
+++ b/canvasbeam/control_plane/home_regions.py
@@ -1,4 +1,4 @@
-"""Look up the home regions of each host in the configuration that this node has."""
+"""Look up the home regions of each host in the configuration stored at this node."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class HomeRegions:
-    """Owns the home regions by host; what changed in a configuration is read at the first look-up after it."""
+    """Owns the home regions by host; the first lookup after a new configuration reads the changed routes."""
 
     def __init__(self, table: ItemTable) -> None:
         self._table = table
         self._version: Version | None = None
         self._document = Document()
-        self._homes: dict[str, Mapping[str, JsonValue]] = {}  # the routes with homes, by their keys in the document
+        self._homes: dict[str, Mapping[str, JsonValue]] = {}  # routes with home regions, by key in the document
         self._by_host: dict[str, frozenset[str]] = {}
 
     def of_host(self, host: str) -> frozenset[str] | None:
-        """Return the regions that are a home for every route with homes of this host; None where no route has any."""
+        """Return the home regions common to all routes of a host that have home regions; None if no route has any."""
         self._read_configuration()
         return self._by_host.get(host.lower())
 
@@ -46,7 +46,7 @@
 
 
 def home_regions_by_host(routes: Iterable[Mapping[str, JsonValue]]) -> dict[str, frozenset[str]]:
-    """Return for each host with homes the regions that all its routes with homes share."""
+    """Return, by host, the home regions common to all routes of the host that have home regions."""
     by_host: dict[str, frozenset[str]] = {}
     for route in routes:
         homes = frozenset(route.get("home_regions") or ())
--- a/canvasbeam/control_plane/json_documents.py
+++ b/canvasbeam/control_plane/json_documents.py
@@ -1,4 +1,4 @@
-"""Read JSON documents of operators: what Python's parser takes beyond JSON, or cannot handle later, is rejected."""
+"""Parse JSON documents of operators; reject Python's extensions of JSON and nesting that later steps cannot handle."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 from canvasbeam.errors import Failure, ResultCode
 
-MAX_NESTING = 100  # levels
-# Any value of JSON. What a document holds is known to its schema (`configuration_schema`), not to the type checker.
+MAX_NESTING = 100  # maximum number of nested levels in a document
+# Any JSON value. The content of a document is checked by its schema (`configuration_schema`), not by the type checker.
 JsonValue = Any
 
 
 def read_document(body: bytes) -> JsonValue | Failure:
-    """Return the JSON document of a body, or a failure of code `CONFIG_UNREADABLE`.
+    """Return the JSON document in a body, or a `CONFIG_UNREADABLE` failure.
 
-    Numbers that JSON does not have, or that overflow, are rejected, and so is nesting deeper than `MAX_NESTING`.
+    Numbers that are not valid JSON or overflow a float are rejected, as is nesting deeper than `MAX_NESTING` levels.
     """
     try:
         document = json.loads(body, parse_constant=_reject_constant, parse_float=_finite)
@@ -29,7 +29,7 @@
 
 
 def is_same_json(document: JsonValue, other: JsonValue) -> bool:
-    """Return whether two documents are the same JSON: Python counts 1, 1.0 and true as equal."""
+    """Return True if two documents are the same JSON; `==` alone is not enough, as 1 == 1.0 == True in Python."""
     return bool(document == other) and _canonical(document) == _canonical(other)
 
 
@@ -38,7 +38,7 @@
 
 
 def _is_nested_too_deep(document: JsonValue) -> bool:
-    """Return whether later steps, some of which recurse, could run out of stack."""
+    """Return True if a document is nested so deeply that recursive functions could overflow the stack on it."""
     level = [document]
     for _ in range(MAX_NESTING):
         level = [child for value in level for child in _children(value)]
--- a/canvasbeam/control_plane/operator_api.py
+++ b/canvasbeam/control_plane/operator_api.py
@@ -1,10 +1,11 @@
-"""Answer the operator's requests: the configuration, evacuations, removals, and the status of this node.
-
-Owns the changes and reads that are in progress at this node. Both are for the primary; other nodes redirect the caller
-there. A change that takes longer than a caller waits goes on here and is answered 503, which leaves its outcome open;
-it is never cancelled. The same change of the configuration, when retried, finds it taken, or still in progress and
-joins it. An evacuation never joins another: it says what shall hold from now on, and the earlier one may have been
-reverted meanwhile under another primary.
+"""Serve the operator's requests: the configuration, evacuations, removals, and the status of this node.
+
+Owns the changes and reads in progress at this node. Only the primary handles them; other nodes redirect the caller to
+the primary. A change that takes longer than `ANSWER_WITHIN_S` is answered 503, which leaves the outcome of the change
+open; the change continues at this node and is never cancelled. A retry of a configuration change is recognized if the
+change has been applied, and joins the change if it is still in progress. An evacuation request never joins an earlier
+one: the request defines the state of the zone from now on, and the earlier request may meanwhile have been reverted
+under another primary.
 """
 
 from __future__ import annotations
@@ -34,10 +35,10 @@
 EVACUATION_PREFIX = "/v1/evacuate/"
 REMOVAL_PREFIX = "/v1/control/remove/"
 STATUS_PATH = "/v1/status"
-ANSWER_WITHIN_S = 0.83  # after `web.CALLER_END_S`; a caller moves on after a second
+ANSWER_WITHIN_S = 0.83  # seconds, after the wait of `web.CALLER_END_S`; together less than the 1 s timeout of callers
 MAX_CHANGES_IN_PROGRESS = 64
-MAX_MATCH_DIGITS = 19  # those of the largest generation
-# Of one change. The same on all nodes and for good, so that a change which was taken is never found too large later.
+MAX_MATCH_DIGITS = 19  # decimal digits of the largest generation
+# Maximum size of one change. The same on all nodes and in all releases, so that no applied change is too large later.
 MAX_CHANGE_BYTES = 16 << 20
 
 CHANGE_OF_METHOD = {"PUT": ChangeKind.PUT_CONFIGURATION, "PATCH": ChangeKind.PATCH_CONFIGURATION}
@@ -64,7 +65,7 @@
 
 
 class OperatorApi:
-    """Answers the operator's requests at one control node."""
+    """Serves the operator's requests at one control node."""
 
     def __init__(
         self,
@@ -77,17 +78,18 @@
         self._service = service
         self._is_reachable = is_reachable
         self._status = status
-        self._changes: set[asyncio.Task[Committed | Failure]] = set()  # all that are in progress
-        self._configuration_changes: dict[Change, asyncio.Task[Committed | Failure]] = {}  # those that may be joined
+        self._changes: set[asyncio.Task[Committed | Failure]] = set()  # all changes in progress
+        # Configuration changes in progress; a retry of the same change waits for the task in this dict.
+        self._configuration_changes: dict[Change, asyncio.Task[Committed | Failure]] = {}
         self._evacuation_fence = EvacuationFence()
         self._reads: set[asyncio.Task[ControlState | Failure]] = set()
 
     def max_body_bytes(self) -> int:
-        """Return how large the body of a change may be."""
+        """Return the maximum size of the body of a change, in bytes."""
         return MAX_CHANGE_BYTES
 
     async def configuration(self, request: Request) -> Answer:
-        """Answer `/v1/config`: read it, replace it, or change named items."""
+        """Serve `/v1/config`: read or replace the configuration, or change named items."""
         if request.path != CONFIGURATION_PATH:
             return Answer(404)
         if request.method == "GET":
@@ -101,7 +103,7 @@
         return await self._submit(request, Change(kind, request.body, if_match))
 
     async def evacuation(self, request: Request) -> Answer:
-        """Answer `/v1/evacuate/ZONE`: evacuate a zone, or end that."""
+        """Serve `/v1/evacuate/ZONE`: start or end the evacuation of a zone."""
         zone = request.path.removeprefix(EVACUATION_PREFIX)
         kind = EVACUATION_OF_METHOD.get(request.method)
         if kind is None:
@@ -111,7 +113,7 @@
         return await self._evacuate(request, Change(kind, zone=zone))
 
     async def removal(self, request: Request) -> Answer:
-        """Answer `/v1/control/remove/IP`: take a control process out for good; sent again, report how far that is."""
+        """Serve `/v1/control/remove/IP`: remove a control process permanently; a repeated request reports progress."""
         if request.method != "POST":
             return method_not_allowed("POST")
         ip = request.path.removeprefix(REMOVAL_PREFIX)
@@ -122,13 +124,13 @@
         return json_answer(status, {"ip": ip, "removal": outcome.value})
 
     async def status(self, request: Request) -> Answer:
-        """Answer `/v1/status`: what this node knows of itself and the others."""
+        """Serve `/v1/status`: the state of this node, and of other nodes as known to this node."""
         if request.method != "GET":
             return method_not_allowed("GET")
         return json_answer(200, self._status())
 
     def on_primary(self, ip: str | None) -> None:
-        """Take the address of the primary, which may be this node, or None."""
+        """Handle a change of the primary: `ip` is the address of the new primary, or None if no primary is known."""
         if ip == self._settings.ip:
             self._evacuation_fence.become_primary(asyncio.get_running_loop().time())
 
@@ -155,7 +157,7 @@
         result = task.result()
         if isinstance(result, Failure):
             return self._failure(request, result)
-        # `Committed`: durable on every replica of the view; see `MemberDriver._perform`.
+        # `Committed`: the change is durable on every replica of the view; see `MemberDriver._perform`.
         return json_answer(200, _summary(result.state))
 
     def _start(self, change: Change) -> asyncio.Task[Committed | Failure]:
@@ -191,7 +193,7 @@
         return unavailable(failure) if status is None else failure_answer(status, failure)
 
     def _redirect_to_primary(self, request: Request) -> Answer:
-        """Redirect the caller to the primary, where that is known and believed to be alive."""
+        """Redirect the caller to the primary, or answer 503 if no reachable primary is known."""
         primary_ip = self._service.primary_ip
         if primary_ip is None or primary_ip == self._settings.ip or not self._is_reachable(primary_ip):
             return unavailable(Failure(ResultCode.NO_PRIMARY, "no primary is known at present"))
--- a/canvasbeam/control_plane/publisher.py
+++ b/canvasbeam/control_plane/publisher.py
@@ -1,4 +1,4 @@
-"""Publish the committed control state to all nodes, as items of the table."""
+"""Publish the committed control state to all nodes, as items of the item table."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class ItemPublisher(Protocol):
-    """What is needed of `ClusterNode`."""
+    """The part of `ClusterNode` that the publisher uses."""
 
     def publish(self, items: Iterable[Item]) -> list[Item]:
-        """Merge items and bring them to all nodes."""
+        """Merge items into the table, and distribute the items to all nodes."""
         ...
 
 
 class StatePublisher:
-    """Is notified of each committed state; every control node publishes it, and the first one to do so suffices.
+    """Publishes each committed state. Every control node does so, and the first publication suffices.
 
-    Owns the indexes of what was published last.
+    Owns the indexes of the configuration and of the evacuations that were published last.
     """
 
     def __init__(self, node: ItemPublisher) -> None:
@@ -33,7 +33,7 @@
         self._evacuation_index = 0
 
     def on_committed(self, state: ControlState) -> None:
-        """Publish what changed since the last state."""
+        """Publish the configuration and the evacuated zones if they have changed since the last published state."""
         items = []
         if state.configuration_index > self._configuration_index and state.configuration is not None:
             self._configuration_index = state.configuration_index
--- a/canvasbeam/control_plane/registry.py
+++ b/canvasbeam/control_plane/registry.py
@@ -1,9 +1,10 @@
-"""Take the heartbeats of workers over HTTP at one control node, and publish what they change to all nodes.
+"""Receive the heartbeats of workers over HTTP at one control node, and publish changed workers to all nodes.
 
-Every control node takes heartbeats. What a heartbeat changes is published before it is acknowledged, because the
-acknowledgement of `draining` promises that requests cease: it waits until a majority of the control nodes has stored
-it. A node out of contact cannot promise that: it publishes to whom it reaches, and a 503 makes the worker go to another
-control node. What is published is decided by `canvasbeam.service_discovery.worker_registry`.
+Every control node accepts heartbeats. A changed worker is published before its heartbeat is acknowledged, because the
+acknowledgement of `draining` guarantees that requests to the worker cease: that acknowledgement waits until a majority
+of the control nodes has stored the publication. A node without contact to a majority cannot guarantee this: the node
+publishes to all reachable nodes, and answers 503, after which the worker turns to another control node.
+`canvasbeam.service_discovery.worker_registry` decides what is published.
 """
 
 from __future__ import annotations
@@ -34,29 +35,29 @@
 INSTANCES_PREFIX = "/v1/instances/"
 MAX_BODY_BYTES = 64 << 10
 MAX_ID_CHARACTERS = 256
-MISSED_HEARTBEATS = 3.5  # intervals without one before a worker is missing
+MISSED_HEARTBEATS = 3.5  # number of intervals without a heartbeat after which a worker is missing
 TICK_S = 0.5
-WRITE_WITHIN_S = 0.7  # a worker turns to another control node after 1 s
+WRITE_WITHIN_S = 0.7  # seconds; shorter than the 1 s after which a worker tries another control node
 
 log = get_logger(__name__)
 
 
 class RegistryNode(ExchangeNode, Protocol):
-    """What the registry needs of `ClusterNode`."""
+    """The part of `ClusterNode` that the registry uses."""
 
     table: ItemTable
 
     def publish(self, items: Iterable[Item]) -> list[Item]:
-        """Merge items and bring them to all nodes."""
+        """Merge items into the table, and distribute the items to all nodes."""
         ...
 
     async def write(self, items: Iterable[Item], within_s: float) -> bool:
-        """Have a majority of the control nodes store these items; False where it has not confirmed that in time."""
+        """Have a majority of the control nodes store items; return False if the majority has not confirmed in time."""
         ...
 
 
 class RegistryService:
-    """Takes heartbeats, announces them to the other control nodes, and applies time-outs as the registrar.
+    """Receives heartbeats, announces them to other control nodes, and as the registrar applies heartbeat timeouts.
 
     Owns the `WorkerRegistry` of this node.
     """
@@ -74,21 +75,21 @@
         node.table.add_listener(self._on_items)
 
     def max_body_bytes(self) -> int:
-        """Return how large the body of a heartbeat may be."""
+        """Return the maximum size of the body of a heartbeat, in bytes."""
         return MAX_BODY_BYTES
 
     def stop(self) -> None:
-        """Direct no worker to this node from now on."""
+        """Stop offering this node to workers as the destination of their heartbeats."""
         self._is_stopping = True
 
     async def run(self) -> None:
-        """Tick every `TICK_S` until cancelled."""
+        """Call `tick` every `TICK_S` seconds until cancelled."""
         while True:
             await asyncio.sleep(TICK_S)
             self.tick()
 
     def tick(self) -> None:
-        """Announce the heartbeats received here, and as the registrar publish who is missing."""
+        """Announce the heartbeats received by this node; as the registrar, also publish the missing workers."""
         now_ns = self._clock()
         self._registry.forget_left(now_ns)
         self._exchange.announce(self._registry.take_unannounced())
@@ -101,7 +102,7 @@
             self._publish(missing)
 
     async def instances(self, request: Request) -> Answer:
-        """Answer `/v1/instances/ID`: a heartbeat, or the end of a worker."""
+        """Serve `/v1/instances/ID`: PUT is a heartbeat of a worker, DELETE deregisters the worker."""
         worker_id = request.path.removeprefix(INSTANCES_PREFIX)
         if not worker_id or len(worker_id) > MAX_ID_CHARACTERS:
             return failure_answer(400, Failure(ResultCode.REGISTRATION_INVALID, "the id is empty or too long"))
@@ -126,9 +127,10 @@
         return self._acknowledge(document, self._node.has_recent_contact(RECENT_CONTACT_NS))
 
     async def _acknowledge_end(self, worker_id: str, document: dict[str, str]) -> Answer:
-        """Promise that requests to a worker cease, once a majority of the control nodes has stored its publication.
+        """Acknowledge that requests to a worker cease, after a majority of control nodes has stored the worker's item.
 
-        That is waited for where it was published before, too: its publisher may have reached nobody.
+        An item that was published before is also written to a majority first, because the node that published the item
+        may have reached no other node.
         """
         item = self._node.table.get(ItemKind.WORKER, worker_id)
         is_stored = await self._node.write([] if item is None else [item], WRITE_WITHIN_S)
@@ -141,7 +143,7 @@
         return json_answer(200, document)
 
     def _nearest_control_address(self, worker_id: str, worker: Worker) -> Address | None:
-        """Return the address of a live control node in the worker's zone, or else in its region."""
+        """Return the address of a live control node in a worker's zone, or else in the region of the zone, or None."""
         nodes = [node for node in self._node.control_nodes() if not (self._is_stopping and self._exchange.is_own(node))]
         region = self._settings.zones.get(worker.zone)
         local = [node for node in nodes if node.zone == worker.zone]
--- a/canvasbeam/control_plane/status.py
+++ b/canvasbeam/control_plane/status.py
@@ -1,4 +1,4 @@
-"""Make the document that a control node answers on `/v1/status`. Its keys are the API's and stay."""
+"""Build the document served at `/v1/status` by a control node. Its keys belong to the HTTP API and must not change."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def status_document(
     settings: ProcessSettings, node: ClusterNode, service: ReplicatedControlState
 ) -> Mapping[str, JsonValue]:
-    """Return the status of this node, of the control state as it knows it, and of members and workers."""
+    """Return the status of this node, of its copy of the control state, and of the members and workers known to it."""
     state, replication = service.state, service.status
     resilience = replication.resilience
     age_ns = node.contact_age()
@@ -61,7 +61,7 @@
 
 
 def _workers(node: ClusterNode) -> Mapping[str, Mapping[str, int]]:
-    """Return how many workers of each service are in each state."""
+    """Return the number of workers by service and state."""
     counts: dict[str, Counter[str]] = {}
     for item in node.table.of_kind(ItemKind.WORKER):
         worker = worker_of(item)
--- a/canvasbeam/control_plane/web.py
+++ b/canvasbeam/control_plane/web.py
@@ -1,9 +1,9 @@
-"""Serve HTTP in a control process: typed requests and answers over ASGI, and the choice of a handler by path.
+"""Serve HTTP in a control process: typed requests and answers over ASGI, and routing by path prefix.
 
-Owns the bodies of the requests that are being read or handled, and bounds their sum. An endpoint may demand that a
-request has an effect only while its caller waits for it. Callers time out and go elsewhere; a copy that was delayed in
-the network, or in a process that was stalled, then arrives with the end of its connection behind it. Such a copy is
-dropped (`CallerWatch`).
+Owns the bodies of the requests that are being read or handled, and limits their total size. An endpoint may require
+that a request has an effect only while the caller waits for the answer. Callers time out and retry at another node; a
+request that was delayed in the network or in a stalled process then arrives together with the end of its connection.
+Such a delayed request is dropped (`CallerWatch`).
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from canvasbeam.runtime.http_server import IDLE_SINCE, Message, Receive, Scope, Send
 
 JSON_CONTENT = (b"content-type", b"application/json")
-MAX_DISCARDED_BYTES = 64 << 20  # of a body that is too large, so that its sender gets to read the answer
-MAX_BODIES_BYTES = 48 << 20  # of all bodies that are being read or handled
+MAX_DISCARDED_BYTES = 64 << 20  # bytes to discard of an oversized body, so that the sender can read the answer
+MAX_BODIES_BYTES = 48 << 20  # total size of all request bodies that are being read or handled
 RETRY_AFTER_S = "0.2"
-CALLER_END_S = 0.02  # the end of a connection comes within this time of the bytes that were delayed with it
-LOOP_ITERATIONS = 10  # more than lie between the arrival of that end and its event
+CALLER_END_S = 0.02  # seconds; a delayed request and the end of its connection arrive within this time
+LOOP_ITERATIONS = 10  # more event-loop iterations than pass between the end of a connection and `http.disconnect`
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,9 +33,9 @@
     method: str
     path: str
     query: Mapping[str, str] = field(default_factory=dict)
-    headers: Mapping[str, str] = field(default_factory=dict)  # names in lower case
+    headers: Mapping[str, str] = field(default_factory=dict)  # header names in lower case
     body: bytes = b""
-    sent_after: float | None = None  # in s of the loop's clock: it was not sent before this, where that is known
+    sent_after: float | None = None  # earliest time of sending, in seconds of the event loop's clock; None if unknown
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,13 +52,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """The handler of the paths that begin with a prefix, and how large their bodies may be."""
+    """The handler and the maximum body size for all paths that begin with a prefix."""
 
     prefix: str
     handler: Handler
     max_body_bytes: Callable[[], int]
-    needs_caller: bool = False  # a request whose caller has disconnected has no effect
-    too_large: ResultCode = ResultCode.CONFIG_TOO_LARGE  # of a request with a body above the limit
+    needs_caller: bool = False  # whether the request of a disconnected caller is dropped
+    too_large: ResultCode = ResultCode.CONFIG_TOO_LARGE  # code of the 413 answer to an oversized body
 
 
 def json_answer(status: int, document: JsonValue, headers: Sequence[tuple[bytes, bytes]] = ()) -> Answer:
@@ -68,28 +68,28 @@
 
 
 def failure_answer(status: int, failure: Failure, headers: Sequence[tuple[bytes, bytes]] = ()) -> Answer:
-    """Return the answer that reports a failure: its number, its name and the reason."""
+    """Return an answer that reports the number, the name and the reason of a failure."""
     error = {"code": int(failure.code), "name": failure.code.name, "reason": failure.reason}
     return json_answer(status, {"error": error}, headers)
 
 
 def unavailable(failure: Failure) -> Answer:
-    """Return the answer 503: the caller should try another node, or this one after `RETRY_AFTER_S`."""
+    """Return a 503 answer: the caller should retry at another node, or at this node after `RETRY_AFTER_S`."""
     return failure_answer(503, failure, ((b"retry-after", RETRY_AFTER_S.encode()),))
 
 
 def retry_on_new_connection(failure: Failure) -> Answer:
-    """Return the answer 503 that closes the connection: the caller should retry on a new one."""
+    """Return a 503 answer that closes the connection: the caller should retry on a new connection."""
     return failure_answer(503, failure, ((b"retry-after", RETRY_AFTER_S.encode()), (b"connection", b"close")))
 
 
 def method_not_allowed(*allowed: str) -> Answer:
-    """Return the answer 405: the path is known, and takes these methods."""
+    """Return a 405 answer: the path exists, but supports only the allowed methods."""
     return Answer(405, headers=((b"allow", ", ".join(allowed).encode()),))
 
 
 class WebApp:
-    """An ASGI app that gives each request to the first endpoint whose prefix begins its path."""
+    """An ASGI app that routes each request to the first endpoint whose prefix matches the path."""
 
     def __init__(self, endpoints: Sequence[Endpoint]) -> None:
         self._endpoints = endpoints
@@ -111,7 +111,7 @@
             await _send_answer(send, answer)
 
     async def _answer(self, endpoint: Endpoint, scope: Scope, receive: Receive, body: _Body) -> Answer | None:
-        """Return the answer, or None where the caller has disconnected."""
+        """Return the answer to a request, or None if the caller has disconnected."""
         while not body.is_complete:
             message = await receive()
             if message["type"] == "http.disconnect":
@@ -129,15 +129,16 @@
 
 
 class CallerWatch:
-    """Tells whether the caller of a request that has been read completely still waits for the answer."""
+    """Detects whether the caller of a completely read request has disconnected."""
 
     def __init__(self, receive: Receive) -> None:
         self._receive = receive
 
     async def has_disconnected(self) -> bool:
-        """Return whether the connection has ended behind the request, or does so within `CALLER_END_S`.
+        """Return True if the connection has ended after the request, or ends within `CALLER_END_S`.
 
-        Where the process was stalled meanwhile, that time is over although nothing was read in it: hence the loop.
+        If the process stalls during the wait, the timeout expires although the event loop has not read from the socket.
+        The extra event-loop iterations let the event loop read the end of the connection in that case.
         """
         end = asyncio.create_task(self._end())
         try:
@@ -154,18 +155,18 @@
 
 
 class _Body:
-    """The body of a request, as far as it was received; one that is too large is read on but not stored."""
+    """The received part of a request body; an oversized body is read but not stored."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
-        self.size = 0  # bytes that are stored
+        self.size = 0  # number of stored bytes
         self.is_too_large = False
         self.is_complete = False
         self._discarded = 0
         self._chunks: list[bytes] = []
 
     def take(self, message: Message) -> int:
-        """Take the next part; return by how many bytes the stored size has changed."""
+        """Add the next chunk of the body; return the change of the stored size in bytes, negative on a discard."""
         chunk: bytes = message.get("body", b"")
         self.is_complete = not message.get("more_body", False)
         former = self.size
--- a/canvasbeam/control_plane/worker_snapshot.py
+++ b/canvasbeam/control_plane/worker_snapshot.py
@@ -1,9 +1,10 @@
-"""Store the workers that a control node knows on its disk, and publish them at its next start.
+"""Store the workers known to a control node on its disk, and publish the stored workers at the next start.
 
-Workers are not part of the replicated state: their heartbeats report them anew within an interval. After a restart of
-all machines that interval is a time without service, which the snapshot bridges. It is a hint: the item of a worker
-carries the version that it had, so that whatever is received of the worker replaces it, and a worker that sends no
-heartbeat times out as any other. A snapshot that is damaged, from the future, or older than `MAX_AGE_NS` is not used.
+Workers are not part of the replicated state, because their heartbeats report them again within one heartbeat interval.
+After a restart of all machines, that interval would be a time without service; the snapshot bridges the interval. The
+snapshot is only a hint: the item of a worker keeps its version, so that any newer item or heartbeat of the worker
+replaces the item, and a worker without heartbeats times out as usual. A snapshot that is damaged, from the future, or
+older than `MAX_AGE_NS` is not used.
 """
 
 from __future__ import annotations
@@ -32,22 +33,22 @@
 
 
 class SnapshotNode(Protocol):
-    """What the snapshot needs of `ClusterNode`."""
+    """The part of `ClusterNode` that the snapshot uses."""
 
     table: ItemTable
 
     def publish(self, items: Iterable[Item]) -> list[Item]:
-        """Merge items and bring them to all nodes."""
+        """Merge items into the table, and distribute the items to all nodes."""
         ...
 
 
 def encode_snapshot(items: Iterable[Item], now_ns: int) -> bytes:
-    """Return the content of the file; the frame's generation is the time of the save, in ns of the system clock."""
+    """Return the content of the snapshot file; `now_ns` (system clock, ns) becomes the generation of its frame."""
     return encode_frame(MAGIC, Frame(now_ns, 0, codec.encode(Update(tuple(items)))))
 
 
 def decode_snapshot(data: bytes | None, now_ns: int) -> tuple[Item, ...]:
-    """Return the workers of a file; none where it is absent, damaged, too old or of a later time."""
+    """Return the worker items of a snapshot file; empty if the file is absent, damaged, too old or from the future."""
     frame = decode_frame(MAGIC, data) if data else None
     if frame is None or not 0 <= now_ns - frame.generation <= MAX_AGE_NS:
         return ()
@@ -58,7 +59,7 @@
 
 
 class WorkerSnapshot:
-    """Restores the workers at the start, and saves them every few seconds from then on."""
+    """Restores the workers at the start, and then saves the known workers every `SAVE_INTERVAL_S` seconds."""
 
     def __init__(self, node: SnapshotNode, disk: Disk, clock: Callable[[], int] = time.time_ns) -> None:
         self._node = node
@@ -68,14 +69,14 @@
         self._has_file = False
 
     async def run(self) -> None:
-        """Restore, and save until cancelled."""
+        """Restore the workers, then save them periodically until cancelled."""
         await self.restore()
         while True:
             await asyncio.sleep(SAVE_INTERVAL_S)
             await self.save()
 
     async def restore(self) -> None:
-        """Publish the workers of the last save; what is known already is newer and stands."""
+        """Publish the workers of the last save; newer versions in the item table stay unchanged."""
         with suppress(OSError):
             data = await self._worker.run(lambda: self._disk.read(FILE_NAME))
             items = decode_snapshot(data, self._clock())
@@ -84,7 +85,7 @@
                 log.info("workers restored count={}", len(items))
 
     async def save(self) -> None:
-        """Write the workers known now. Where the disk refuses, the next save is the retry."""
+        """Write the currently known workers to disk. Errors of the disk are ignored, because the next save retries."""
         items = self._node.table.of_kind(ItemKind.WORKER)
         if not items:
             return
@@ -93,11 +94,11 @@
             await self._worker.run(lambda: self._write(data))
 
     def close(self) -> None:
-        """End the disk's thread."""
+        """Stop the thread that accesses the disk."""
         self._worker.close()
 
     def _write(self, data: bytes) -> None:
-        """Overwrite the file in place, in the disk's thread; its digest tells whether that was finished."""
+        """Overwrite the file in place, in the disk thread; the digest in the file reveals an incomplete write."""
         if not self._has_file:
             self._disk.create(FILE_NAME)
             self._disk.sync_folder()
--- a/canvasbeam/service_discovery/__init__.py
+++ b/canvasbeam/service_discovery/__init__.py
@@ -1,8 +1,9 @@
 """Decide which workers exist, and to which data-plane nodes a client connects.
 
-Owns the state of each worker as one control node knows it. Pure: it takes times and messages, and returns what to
-publish; it must never read a clock, send, or log. The drivers are in `canvasbeam.control_plane`. Start reading at:
+Owns the state of each worker as known to one control node. The package is pure: its functions get times and messages as
+arguments, and return the publications to send. The package must never read a clock, send messages, or write logs; the
+drivers in `canvasbeam.control_plane` do that. Start reading at:
 
-- `worker_registry`: heartbeats in, publications out; the table of a worker's states.
-- `directory`: the choice of addresses for a client.
+- `worker_registry`: turns heartbeats into publications; contains the state table of a worker.
+- `directory`: chooses the addresses of data-plane nodes for a client.
 """
--- a/canvasbeam/service_discovery/directory.py
+++ b/canvasbeam/service_discovery/directory.py
@@ -1,17 +1,18 @@
-"""Choose the data-plane nodes that a client is sent to. Pure.
+"""Choose, by pure functions, the data-plane nodes to which a client connects.
 
-| ready nodes near the client | a host without homes | a host whose routes have homes |
+| ready nodes near the client | addresses for a host without home regions | addresses for a host with home regions |
 | --- | --- | --- |
-| two or more in its zone | those | those |
-| two or more in its region | those of the region | those of the region |
-| one in its region | all that are ready | that one, and the ready ones of the home regions |
-| none in its region | all that are ready | the ready ones of the home regions |
-| none there either | all that are ready | those of both that drain or start; without any, all that are ready |
+| two or more in the client's zone | ready nodes of the zone | ready nodes of the zone |
+| two or more in the client's region | ready nodes of the region | ready nodes of the region |
+| one in the client's region | all ready nodes | that node, and the ready nodes of the home regions |
+| none in the client's region | all ready nodes | ready nodes of the home regions |
+| none in these regions | all ready nodes | draining and starting nodes of these regions, or else all ready nodes |
 
-A node that is draining still takes connections for a while, and one that is starting will soon.
+A draining node still accepts connections for a while, and a starting node will accept connections soon.
 
-The home regions of a host are those that all its routes with homes share: a client asks for a host, and may call any
-route of it. Clients choose among the addresses at random, so nothing that must not be chosen may be in the list.
+The home regions of a host are the regions common to all its routes with home regions, because a client resolves a host
+and may then call any of its routes. Clients choose among the addresses at random, so the list must not contain an
+address that a client must not choose.
 """
 
 from __future__ import annotations
@@ -21,15 +22,15 @@
 from typing import NamedTuple
 
 MAX_ADDRESSES = 64
-MIN_LOCAL_ADDRESSES = 2  # one alone would be a single point of failure
-IN_ZONE, IN_REGION, ELSEWHERE = range(3)  # distances from the client
+MIN_LOCAL_ADDRESSES = 2  # a single address would be a single point of failure
+IN_ZONE, IN_REGION, ELSEWHERE = range(3)  # distances of a node from the client
 
 
 @dataclass(frozen=True, slots=True)
 class DataPlaneNode:
-    """A data-plane node that is alive; one that is not ready is draining or has just started."""
+    """A live data-plane node; a node that is not ready is either draining or starting."""
 
-    front: str  # where it takes requests, as "host:port"
+    front: str  # address for requests of clients, as "host:port"
     zone: str
     region: str
     is_ready: bool = True
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLocation:
-    """Where a client is; empty where it does not say."""
+    """The zone and region of a client; empty if the client does not name them."""
 
     zone: str
     region: str
@@ -53,9 +54,9 @@
 def choose_addresses(
     nodes: Iterable[DataPlaneNode], client: ClientLocation, home_regions: frozenset[str] | None = None
 ) -> list[str]:
-    """Return the addresses for a client of a host, those near the client first, at most `MAX_ADDRESSES`.
+    """Return at most `MAX_ADDRESSES` addresses for a client that resolves a host, the nearest nodes first.
 
-    `home_regions` are those of the host; None where no route of it has any.
+    `home_regions` are the home regions of the host; None if no route of the host has home regions.
     """
     located = (_LocatedNode(_distance(node, client), node) for node in nodes)
     alive = sorted(located, key=lambda entry: (entry.distance, entry.node.front))
@@ -67,7 +68,7 @@
 
 
 def _local_nodes(ordered: list[_LocatedNode]) -> list[_LocatedNode] | None:
-    """Return the nodes of the client's zone, or with too few of these of its region; None with too few of both."""
+    """Return the nodes in the client's zone, or in its region if the zone has too few, or None if both have too few."""
     for distance in (IN_ZONE, IN_REGION):
         local = [entry for entry in ordered if entry.distance <= distance]
         if len(local) >= MIN_LOCAL_ADDRESSES:
@@ -76,7 +77,7 @@
 
 
 def _in_home_regions(ordered: list[_LocatedNode], home_regions: frozenset[str]) -> list[_LocatedNode]:
-    """Return the nodes of the client's own region and of the home regions."""
+    """Return the nodes in the client's region or in a home region."""
     return [entry for entry in ordered if entry.distance < ELSEWHERE or entry.node.region in home_regions]
 
 
--- a/canvasbeam/service_discovery/worker_registry.py
+++ b/canvasbeam/service_discovery/worker_registry.py
@@ -1,16 +1,17 @@
-"""Decide what is published of the workers that send heartbeats to one control node. Pure.
+"""Decide, without I/O, what is published about the workers that send heartbeats to one control node.
 
-| state | from | to |
+| state | entered by | next states |
 | --- | --- | --- |
 | ready | the first heartbeat | draining, missing, left |
-| draining | a heartbeat that says so | ready, missing, left |
-| missing | no heartbeat within the time-out, declared by the registrar | ready or draining by a later heartbeat; left |
-| left | the worker deregistered, or another id has its address | none: an id never comes again |
-
-`_enter` is the only function that changes a state. Any control node takes heartbeats. A publication has the sequence
-number of the heartbeat behind it as its version, so the one of the latest heartbeat stands wherever it was taken. A
-heartbeat that says nothing new is not published; the control nodes only announce its number to each other, so that none
-of them takes the worker for missing. The registrar is the one control node that applies the time-out.
+| draining | a heartbeat with the state draining | ready, missing, left |
+| missing | no heartbeat within the timeout, declared by the registrar | ready or draining by a later heartbeat; left |
+| left | deregistration of the worker, or use of its address by another id | none: ids are never reused |
+
+`_enter` is the only function that changes a state. Every control node accepts heartbeats. The version of a publication
+is the sequence number of the heartbeat that caused it, so the publication of the latest heartbeat wins, whichever
+control node received that heartbeat. A heartbeat that reports no change is not published; control nodes only announce
+its sequence number to each other, so that the worker is not declared missing. The registrar is the only control node
+that applies the heartbeat timeout.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 
 from canvasbeam.units import MILLISECOND, SECOND
 
-WARM_UP_TOLERANCE_MS = 250  # a warm-up that ends at most this much later than expected is the same warm-up
-FORGET_AFTER_NS = 600 * SECOND  # no request of a worker comes so long after its end
-LEFT_SEQUENCE = 1 << 62  # above every sequence number of a heartbeat
-# The revisions of a version. The numbers are those of the wire, the minor part of an item's version.
+WARM_UP_TOLERANCE_MS = 250  # milliseconds; a warm-up that ends later than expected by at most this is not a new warm-up
+FORGET_AFTER_NS = 600 * SECOND  # a worker sends no request this long after it left
+LEFT_SEQUENCE = 1 << 62  # higher than the sequence number of any heartbeat
+# Values of `WorkerVersion.revision`, sent on the wire as the minor part of an item's version.
 AS_REPORTED = 0
 DECLARED_MISSING = 1
 
 
 class WorkerState(IntEnum):
-    """Whether a worker takes requests. The numbers are those of the wire."""
+    """The state of a worker, which decides whether requests are sent to the worker. The values are sent on the wire."""
 
     READY = 1
     DRAINING = 2
@@ -49,10 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Worker:
-    """What a worker says of itself; the two times count from when it was said.
+    """The state that a worker reports about itself; its two durations count from the time of the report.
 
-    The heartbeat's body and the record on the wire call `warm_up_left_ms` `cold_left_ms`; `heartbeats.parse_heartbeat`
-    and `canvasbeam.cluster.worker_items` translate.
+    The body of a heartbeat and the record on the wire use the name `cold_left_ms` for `warm_up_left_ms`;
+    `heartbeats.parse_heartbeat` and `canvasbeam.cluster.worker_items` translate the name.
     """
 
     service: str
@@ -62,14 +63,14 @@
     slots: int = 0
     state: WorkerState = WorkerState.READY
     warm_up_left_ms: int = 0
-    remaining_ms: int | None = None  # until a draining worker ends
+    remaining_ms: int | None = None  # milliseconds until a draining worker stops; None if not announced
     stage: str = ""
     models: tuple[Model, ...] = ()
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class WorkerVersion:
-    """The sequence number of a heartbeat, and whether the registrar declared the worker missing after it."""
+    """The sequence number of a heartbeat; the revision is higher if the worker went missing after the heartbeat."""
 
     sequence: int
     revision: int = AS_REPORTED
@@ -77,16 +78,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Publication:
-    """What all nodes are to hold of a worker."""
+    """A new version of a worker, to be stored by all nodes."""
 
     worker_id: str
     version: WorkerVersion
-    worker: Worker | None  # none for one that left
+    worker: Worker | None  # state of the worker; None if the worker has left
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedHeartbeat:
-    """The number of a heartbeat that some control node received."""
+    """The sequence number of a heartbeat that a control node received from a worker."""
 
     worker_id: str
     sequence: int
@@ -94,20 +95,20 @@
 
 @dataclass(slots=True)
 class _Entry:
-    """What this node knows of one worker."""
+    """The published and the reported state of one worker, as known to this node."""
 
-    version: WorkerVersion  # of what is published
-    worker: Worker | None = None  # what is published; none where it left, or nothing is yet
+    version: WorkerVersion  # version of the published state
+    worker: Worker | None = None  # published state; None if the worker has left or is not published yet
     published_at_ns: int = 0
-    last_sequence: int = -1  # of any heartbeat that this node knows of
-    last_seen_at_ns: int = 0  # when that one became known here
-    reported: Worker | None = None  # by the last heartbeat received here
+    last_sequence: int = -1  # highest sequence number known to this node, -1 before the first heartbeat
+    last_seen_at_ns: int = 0  # time at which this node learned of heartbeat `last_sequence`
+    reported: Worker | None = None  # state in the last heartbeat received by this node
     reported_sequence: int = -1
     reported_at_ns: int = 0
 
     @property
     def state(self) -> WorkerState | None:
-        """The state as published; none before the first publication."""
+        """The published state; None before the first publication."""
         if self.version.sequence >= LEFT_SEQUENCE:
             return WorkerState.LEFT
         return self.worker.state if self.worker is not None else None
@@ -115,7 +116,7 @@
 
 @dataclass(slots=True)
 class WorkerRegistry:
-    """Decides what is published of workers. Times are whole nanoseconds of a steady clock, given by the caller."""
+    """Decides what is published about workers. The caller passes times, as integer nanoseconds of a monotonic clock."""
 
     heartbeat_timeout_ns: int
     timeouts_since_ns: int
@@ -123,7 +124,7 @@
     _unannounced: dict[str, int] = field(default_factory=dict)
 
     def heartbeat(self, worker_id: str, sequence: int, worker: Worker, now_ns: int) -> list[Publication]:
-        """Take a heartbeat; return what must be published before the heartbeat is acknowledged."""
+        """Process a heartbeat; return the publications that must be sent before the heartbeat is acknowledged."""
         entry = self._entry(worker_id, now_ns)
         if entry.state is WorkerState.LEFT or sequence <= entry.last_sequence:
             return []
@@ -138,9 +139,9 @@
         ]
 
     def deregister(self, worker_id: str, now_ns: int) -> list[Publication]:
-        """Take the end of a worker, or the loss of its address to another; return what to publish.
+        """Mark a worker as left, because it stopped or another worker has its address; return the publication, if any.
 
-        Nothing is sent to this id any more.
+        No more requests are sent to a worker that has left.
         """
         entry = self._entry(worker_id, now_ns)
         if entry.state is WorkerState.LEFT:
@@ -150,7 +151,7 @@
         return [Publication(worker_id, version, None)]
 
     def on_published(self, publication: Publication, now_ns: int) -> list[Publication]:
-        """Take what any node published; return the correction of a time-out that a heartbeat has overtaken."""
+        """Process a publication of any node; return a correction if a later heartbeat refutes a declared timeout."""
         entry = self._entry(publication.worker_id, now_ns)
         if publication.version <= entry.version:
             return []
@@ -165,22 +166,22 @@
         return [self._publish_reported(publication.worker_id, entry, now_ns)]
 
     def received_elsewhere(self, heartbeats: Iterable[ReceivedHeartbeat], now_ns: int) -> None:
-        """Take the numbers of heartbeats that another control node received."""
+        """Process the sequence numbers of heartbeats that another control node received."""
         for heartbeat in heartbeats:
             self._note_sequence(self._entry(heartbeat.worker_id, now_ns), heartbeat.sequence, now_ns)
 
     def take_unannounced(self) -> list[ReceivedHeartbeat]:
-        """Return the heartbeats received here since the last call, for the other control nodes."""
+        """Return the heartbeats received by this node since the last call, for announcement to other control nodes."""
         unannounced = [ReceivedHeartbeat(worker_id, sequence) for worker_id, sequence in self._unannounced.items()]
         self._unannounced.clear()
         return unannounced
 
     def restart_timeouts(self, now_ns: int) -> None:
-        """Begin all time-outs anew: heartbeats may have been missed until now."""
+        """Restart the heartbeat timeouts of all workers, because this node may have missed heartbeats until now."""
         self.timeouts_since_ns = now_ns
 
     def declare_missing(self, now_ns: int) -> list[Publication]:
-        """Declare missing whoever is past the time-out; return what to publish. Only the registrar calls this."""
+        """Declare all timed-out workers missing; return their publications. Only the registrar may call this method."""
         return [
             self._publish_missing(worker_id, entry, entry.worker, now_ns)
             for worker_id, entry in self._entries.items()
@@ -188,7 +189,7 @@
         ]
 
     def forget_left(self, now_ns: int) -> None:
-        """Drop what is stored of workers that left long ago, or of which nothing but a number was ever known."""
+        """Drop the entries of workers that left long ago, and old entries that have only a sequence number."""
         old = [worker_id for worker_id, entry in self._entries.items() if _is_forgettable(entry, now_ns)]
         for worker_id in old:
             del self._entries[worker_id]
@@ -204,13 +205,13 @@
         return Publication(worker_id, version, entry.worker)
 
     def _publish_reported(self, worker_id: str, entry: _Entry, now_ns: int) -> Publication:
-        """Publish what the last heartbeat received here said."""
+        """Publish the state in the last heartbeat received by this node."""
         version = WorkerVersion(entry.reported_sequence)
         _enter(entry, version, entry.reported, now_ns)
         return Publication(worker_id, version, entry.reported)
 
     def _deregister_former_at(self, address: str, worker_id: str, now_ns: int) -> list[Publication]:
-        """Deregister the workers that had this address before."""
+        """Deregister all other workers that are published with the address of a worker."""
         former = [
             other_id
             for other_id, other in self._entries.items()
@@ -235,7 +236,7 @@
 
 
 def _enter(entry: _Entry, version: WorkerVersion, worker: Worker | None, now_ns: int) -> None:
-    """Every change of a worker's state goes through here, and each is to a higher version."""
+    """Set the version and the published state of a worker; the new version must be higher than the current one."""
     assert version > entry.version
     entry.version = version
     entry.worker = worker
@@ -256,7 +257,7 @@
 
 
 def _warm_up_changed(entry: _Entry, published_ms: int, reported_ms: int, now_ns: int) -> bool:
-    """Return whether a worker began to warm up anew, or has warmed up and is not published so."""
+    """Return True if a worker has started a new warm-up, or has finished a warm-up that is published as unfinished."""
     elapsed_ms = (now_ns - entry.published_at_ns) // MILLISECOND
     expected_ms = max(0, published_ms - elapsed_ms)
     has_warmed_up = reported_ms == 0 and published_ms > 0
--- a/tests/service_discovery/test_directory.py
+++ b/tests/service_discovery/test_directory.py
@@ -1,4 +1,4 @@
-"""The directory: which data-plane nodes a client is sent to, and what it is answered when none is known."""
+"""Tests of the directory: the data-plane nodes that a client gets, and the answer if no node is ready."""
 
 from __future__ import annotations
 
@@ -53,13 +53,13 @@
 @pytest.mark.parametrize(
     ("left", "homes", "regions"),
     [
-        (2, {"r2"}, {"r1"}),  # enough at home: nobody is sent further
+        (2, {"r2"}, {"r1"}),  # two ready nodes in the own region suffice
         (1, {"r1", "r2"}, {"r1", "r2"}),
-        (1, {"r2", "r3"}, {"r1", "r2", "r3"}),  # a client of a region that is no home is served in its own one
-        (1, {"r1"}, {"r1"}),  # one node at home is better than any that must not be called
-        (1, set(), {"r1"}),  # the routes of the host share no home
+        (1, {"r2", "r3"}, {"r1", "r2", "r3"}),  # the own region is used even if it is not a home region
+        (1, {"r1"}, {"r1"}),  # one ready node in a home region is preferred to nodes outside the home regions
+        (1, set(), {"r1"}),  # the routes of the host have no home region in common
         (0, {"r1", "r2"}, {"r2"}),
-        (0, {"r1"}, {"r2", "r3"}),  # nobody is left who is named by the homes
+        (0, {"r1"}, {"r2", "r3"}),  # no node is left in any home region
     ],
 )
 def test_a_client_is_sent_to_its_own_region_or_to_a_home(left: int, homes: set[str], regions: set[str]) -> None:
@@ -67,13 +67,14 @@
     nodes = [node for node in HOMES if node.front not in gone]
     addresses = choose_addresses(nodes, ClientLocation("z1", "r1"), frozenset(homes))
     assert {node.region for node in nodes if node.front in addresses} == regions
-    assert addresses == sorted(addresses)  # by the test's addresses the own region comes first
+    assert addresses == sorted(addresses)  # the addresses of the client's own region sort first
 
 
 @pytest.mark.parametrize(
     ("alive", "homes", "regions"),
     [
-        ("r1 r2", {"r1", "r2"}, {"r1", "r2"}),  # a rolling restart has reached all of them: they still take connections
+        # A rolling restart has reached all nodes of the home regions; draining nodes still accept connections.
+        ("r1 r2", {"r1", "r2"}, {"r1", "r2"}),
         ("r2", {"r1", "r2"}, {"r2"}),
         ("r1", {"r2"}, {"r1"}),
         ("", {"r1", "r2"}, {"r3"}),
@@ -162,7 +163,7 @@
 
 EDGES = [
     member("10.1.0.1:80"),
-    member("10.1.0.2:80", ready=False),  # it ends
+    member("10.1.0.2:80", ready=False),  # draining
     member("10.2.0.1:80", zone="z2", region="r2"),
     member("10.3.0.1:80", zone="z3", region="r3"),
 ]
@@ -199,7 +200,10 @@
 
 
 def test_a_node_that_no_other_is_known_to_reach_directs_nobody() -> None:
-    """Right after its process stood still, or while it is alone: what it holds of the others may be old."""
+    """Guards against stale addresses from a node without contact to other nodes.
+
+    The members known to such a node may be out of date, after a stall of its process or while it is isolated.
+    """
     heard = [False]
     directory = Directory(settings(), lambda: [member("10.1.0.1:80")], HomeRegions(ItemTable()), lambda: heard[0])
     request = Request("GET", "/v1/resolve", {"name": "a.example", "region": "r1", "zone": "z1"})
--- a/tests/service_discovery/test_directory_ended.py
+++ b/tests/service_discovery/test_directory_ended.py
@@ -1,4 +1,4 @@
-"""How long directories name a machine that has ended: real monitoring and distribution in simulated time."""
+"""Tests of how long directories list a stopped machine: real failure detection and distribution, simulated time."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Fleet:
-    """Three or more control nodes that answer as directories, and ready data-plane nodes."""
+    """A simulated fleet of three or more control nodes with directories, and of ready data-plane nodes."""
 
     def __init__(self, controls: int, edges: int, seed: int, datagram_loss: float = 0.0) -> None:
         self.network = Network(seed, datagram_loss)
@@ -40,7 +40,7 @@
         return {edge.member.front for edge in self.edges}
 
     def named_at(self, control: Host) -> set[str]:
-        """All that this control node names to some client."""
+        """Return the addresses that a control node gives to at least one client."""
         members = control.core.members(self.network.now)
         directory = Directory(SETTINGS, lambda: members, HomeRegions(ItemTable()))
         named: set[str] = set()
--- a/tests/service_discovery/test_worker_registry.py
+++ b/tests/service_discovery/test_worker_registry.py
@@ -1,4 +1,4 @@
-"""The registry's decisions: what is published of workers, who is declared missing, and what overrides that."""
+"""Tests of the worker registry: publications, workers declared missing, and heartbeats that override declarations."""
 
 from __future__ import annotations
 
@@ -224,7 +224,11 @@
 
 @given(STEPS)
 def test_three_nodes_agree_once_all_is_delivered(steps: list[tuple[str, int, str]]) -> None:
-    """Each publication reaches every node at once; versions never go back and all end alike."""
+    """Guards against control nodes that keep different versions of a worker after every publication was delivered.
+
+    Each publication reaches every node immediately. Versions must only increase, and at the end all nodes must have the
+    latest version of each worker.
+    """
     nodes = [registry() for _ in range(3)]
     held: dict[str, Publication] = {}
     sequence = now = 0
