--- a/canvasbeam/control_plane/changes.py
+++ b/canvasbeam/control_plane/changes.py
@@ -17,7 +17,7 @@
 from dataclasses import replace
 from hashlib import blake2b
 
-from canvasbeam.control_plane.configuration_patch import patched, without_known_items
+from canvasbeam.control_plane.configuration_patch import apply_patch, drop_unchanged_items
 from canvasbeam.control_plane.configuration_rules import check_rules
 from canvasbeam.control_plane.configuration_schema import check_configuration, check_patch
 from canvasbeam.control_plane.json_documents import JsonValue, is_same_json, read_document
@@ -29,7 +29,7 @@
 KEY_DIGEST_BYTES = 12  # a random collision among `MAX_APPLIED_CHANGE_KEYS` digests is practically impossible
 CHANGE_KEY_BYTES = KEY_VERSION_BYTES + KEY_DIGEST_BYTES
 OPEN_FAILURES = frozenset({ResultCode.CONFIG_UNKNOWN_MATCH, ResultCode.CONFIG_FORGOTTEN})
-NOTHING_CONFIGURED: Mapping[str, JsonValue] = {}
+EMPTY_CONFIGURATION: Mapping[str, JsonValue] = {}
 
 
 def apply(state: ControlState, change: Change) -> ControlState | Failure:
@@ -57,7 +57,7 @@
     return version + blake2b(head + change.body, digest_size=KEY_DIGEST_BYTES).digest()
 
 
-def _version_of(key: bytes) -> int:
+def _base_version(key: bytes) -> int:
     """Return the base version (`If-Match`) in the key of a change."""
     return int.from_bytes(key[:KEY_VERSION_BYTES])
 
@@ -74,13 +74,13 @@
     key = change_key(change)
     if key in state.applied_change_keys:
         return state
-    if _may_be_forgotten(state, change):
+    if _key_may_be_dropped(state, change):
         return Failure(ResultCode.CONFIG_FORGOTTEN, f"orders on generation {change.if_match} are not remembered")
     document = read_document(change.body)
     if isinstance(document, Failure):
         return document
     if _is_current_configuration(state, change, document):
-        return replace(state, index=state.index + 1, applied_change_keys=_remembered(state, key))
+        return replace(state, index=state.index + 1, applied_change_keys=_append_change_key(state, key))
     failure = _check_match(state, change)
     if failure is not None:
         return failure
@@ -90,7 +90,7 @@
     return _with_configuration(state, configuration, key)
 
 
-def _may_be_forgotten(state: ControlState, change: Change) -> bool:
+def _key_may_be_dropped(state: ControlState, change: Change) -> bool:
     """Return True if the change may have been applied so long ago that the state no longer keeps its key.
 
     Each applied change has a higher base version than the change applied before it, so the base version of every
@@ -98,7 +98,7 @@
     """
     if len(state.applied_change_keys) < MAX_APPLIED_CHANGE_KEYS:
         return False
-    return change.if_match <= _version_of(state.applied_change_keys[0])
+    return change.if_match <= _base_version(state.applied_change_keys[0])
 
 
 def _is_current_configuration(state: ControlState, change: Change, document: JsonValue) -> bool:
@@ -109,7 +109,7 @@
     """
     if change.kind is not ChangeKind.PUT_CONFIGURATION or not state.applied_change_keys:
         return False
-    if change.if_match != _version_of(state.applied_change_keys[-1]):
+    if change.if_match != _base_version(state.applied_change_keys[-1]):
         return False
     return is_same_json(document, state.configuration)
 
@@ -135,14 +135,14 @@
         failure = check_patch(document) if check_structure else None
         if failure is not None:
             return failure
-        document = patched(state.configuration or NOTHING_CONFIGURED, document)
+        document = apply_patch(state.configuration or EMPTY_CONFIGURATION, document)
     failure = _check_structure(state, document) if check_structure else None
     failure = failure or check_rules(document) or _check_generation(state, document)
     return document if failure is None else failure
 
 
 def _check_structure(state: ControlState, document: JsonValue) -> Failure | None:
-    return check_configuration(without_known_items(document, state.configuration or NOTHING_CONFIGURED))
+    return check_configuration(drop_unchanged_items(document, state.configuration or EMPTY_CONFIGURATION))
 
 
 def _check_generation(state: ControlState, configuration: Mapping[str, JsonValue]) -> Failure | None:
@@ -161,9 +161,9 @@
         generation=int(configuration["generation"]),
         configuration=configuration,
         configuration_index=index,
-        applied_change_keys=_remembered(state, key),
+        applied_change_keys=_append_change_key(state, key),
     )
 
 
-def _remembered(state: ControlState, key: bytes) -> tuple[bytes, ...]:
+def _append_change_key(state: ControlState, key: bytes) -> tuple[bytes, ...]:
     return (*state.applied_change_keys, key)[-MAX_APPLIED_CHANGE_KEYS:]
--- a/canvasbeam/control_plane/configuration_patch.py
+++ b/canvasbeam/control_plane/configuration_patch.py
@@ -13,17 +13,17 @@
 _ABSENT = object()  # placeholder for a missing item; compares unequal to every item
 
 
-def without_known_items(document: JsonValue, current: Mapping[str, JsonValue]) -> JsonValue:
+def drop_unchanged_items(document: JsonValue, current: Mapping[str, JsonValue]) -> JsonValue:
     """Return a document without the items that the current, already checked configuration contains unchanged.
 
     Most changes concern a few of many items, and the check of one item takes a third of a millisecond.
     """
     if not isinstance(document, dict):
         return document
-    return {field: _without_items(value, current.get(field)) for field, value in document.items()}
+    return {field: _drop_unchanged(value, current.get(field)) for field, value in document.items()}
 
 
-def _without_items(value: JsonValue, known: JsonValue) -> JsonValue:
+def _drop_unchanged(value: JsonValue, known: JsonValue) -> JsonValue:
     if not isinstance(value, list) or not isinstance(known, list):
         return value
     by_name = {_name_of(item): item for item in known}
@@ -35,7 +35,7 @@
     return bool(item == known) and repr(item) == repr(known)
 
 
-def patched(base: Mapping[str, JsonValue], patch: Mapping[str, JsonValue]) -> dict[str, JsonValue]:
+def apply_patch(base: Mapping[str, JsonValue], patch: Mapping[str, JsonValue]) -> dict[str, JsonValue]:
     """Return the base configuration with a patch applied: named items are removed, replaced in place, or appended."""
     configuration = {**base, "generation": patch["generation"]}
     if "limits" in patch:
@@ -46,19 +46,19 @@
         unwanted = set(names)
         configuration[field] = [item for item in _items(configuration, field) if _name_of(item) not in unwanted]
     for field, items in patch.get("upsert", {}).items():
-        configuration[field] = _upserted(_items(configuration, field), items)
+        configuration[field] = _upsert_items(_items(configuration, field), items)
     return configuration
 
 
-def _upserted(items: list[JsonValue], changed: list[JsonValue]) -> list[JsonValue]:
+def _upsert_items(items: list[JsonValue], changed: list[JsonValue]) -> list[JsonValue]:
     """Return the items with each changed item in the place of the item of the same name, or else at the end.
 
     If `changed` contains a name twice, both items are included, so that `configuration_rules` reports the duplicate.
     """
     not_placed = {item["name"]: item for item in reversed(changed)}
-    first_of = dict(not_placed)
+    first_by_name = dict(not_placed)
     replaced = [not_placed.pop(_name_of(item), item) for item in items]
-    added = [item for item in changed if item["name"] in not_placed or item is not first_of[item["name"]]]
+    added = [item for item in changed if item["name"] in not_placed or item is not first_by_name[item["name"]]]
     return replaced + added
 
 
--- a/canvasbeam/control_plane/configuration_rules.py
+++ b/canvasbeam/control_plane/configuration_rules.py
@@ -27,7 +27,7 @@
     return None
 
 
-def _names_are_unique(configuration: Configuration) -> Failure | None:
+def _check_unique_names(configuration: Configuration) -> Failure | None:
     for field, items in configuration.items():
         if not isinstance(items, list):
             continue
@@ -37,15 +37,15 @@
     return None
 
 
-def _tenant_keys_are_unique(configuration: Configuration) -> Failure | None:
-    keys = (key for tenant in configuration.get("tenants", ()) for key in sorted(_keys_of(tenant)))
+def _check_unique_tenant_keys(configuration: Configuration) -> Failure | None:
+    keys = (key for tenant in configuration.get("tenants", ()) for key in sorted(_api_keys(tenant)))
     duplicate = _first_duplicate(keys)
     if duplicate is None:
         return None
     return Failure(ResultCode.CONFIG_DUPLICATE_NAME, "tenants: two tenants have the same key")
 
 
-def _hosts_with_prefixes_are_unique(configuration: Configuration) -> Failure | None:
+def _check_unique_routes(configuration: Configuration) -> Failure | None:
     duplicate = _first_duplicate((route["host"].lower(), route["prefix"]) for route in configuration["routes"])
     if duplicate is None:
         return None
@@ -53,7 +53,7 @@
     return Failure(ResultCode.CONFIG_DUPLICATE_ROUTE, f"two routes have the host {host!r} and the prefix {prefix!r}")
 
 
-def _services_are_known(configuration: Configuration) -> Failure | None:
+def _check_known_services(configuration: Configuration) -> Failure | None:
     known = {service["name"] for service in configuration["services"]}
     for route in configuration["routes"]:
         for service in _services_of(route):
@@ -63,14 +63,14 @@
     return None
 
 
-def _weights_are_positive(configuration: Configuration) -> Failure | None:
+def _check_weights(configuration: Configuration) -> Failure | None:
     for route in configuration["routes"]:
         if "split" in route and sum(part["weight"] for part in route["split"]) <= 0:
             return Failure(ResultCode.CONFIG_NO_WEIGHT, f"the weights of route {route['name']!r} sum to zero")
     return None
 
 
-def _timeouts_are_positive(configuration: Configuration) -> Failure | None:
+def _check_timeouts(configuration: Configuration) -> Failure | None:
     for route in configuration["routes"]:
         if route.get("timeout_ms", 1) <= 0:
             return Failure(ResultCode.CONFIG_NO_TIMEOUT, f"the timeout of route {route['name']!r} is zero")
@@ -78,12 +78,12 @@
 
 
 _RULES: tuple[Callable[[Configuration], Failure | None], ...] = (
-    _names_are_unique,
-    _tenant_keys_are_unique,
-    _hosts_with_prefixes_are_unique,
-    _services_are_known,
-    _weights_are_positive,
-    _timeouts_are_positive,
+    _check_unique_names,
+    _check_unique_tenant_keys,
+    _check_unique_routes,
+    _check_known_services,
+    _check_weights,
+    _check_timeouts,
 )
 
 
@@ -98,7 +98,7 @@
     return isinstance(item, dict) and isinstance(item.get("name"), str)
 
 
-def _keys_of(tenant: Mapping[str, JsonValue]) -> set[str]:
+def _api_keys(tenant: Mapping[str, JsonValue]) -> set[str]:
     """Return the API keys that identify the requests of a tenant, without duplicates."""
     keys: set[str] = set()
     for field in TENANT_KEY_FIELDS:
--- a/canvasbeam/control_plane/directory.py
+++ b/canvasbeam/control_plane/directory.py
@@ -26,11 +26,11 @@
         self,
         settings: ProcessSettings,
         members: Callable[[], Iterable[Member]],
-        homes: HomeRegions,
+        home_regions: HomeRegions,
         is_reachable: Callable[[], bool] = lambda: True,
     ) -> None:
         self._settings = settings
-        self._homes = homes
+        self._home_regions = home_regions
         self._members = members
         self._is_reachable = is_reachable
 
@@ -42,8 +42,8 @@
             return method_not_allowed("GET")
         if not self._is_reachable():
             return unavailable(Failure(ResultCode.PEER_UNREACHABLE, "no other node is known to hear this one"))
-        homes = self._homes.of_host(request.query.get("name", ""))
-        addresses = choose_addresses(self._nodes(), self._client_location(request), homes)
+        home_regions = self._home_regions.of_host(request.query.get("name", ""))
+        addresses = choose_addresses(self._nodes(), self._client_location(request), home_regions)
         if not addresses:
             return unavailable(Failure(ResultCode.REQUEST_NOT_READY, "no data-plane node is known to be ready"))
         return json_answer(200, {"addresses": addresses, "ttl_s": min(TTL_S, self._settings.bounds.ttl_max_s)})
--- a/canvasbeam/control_plane/evacuation_fence.py
+++ b/canvasbeam/control_plane/evacuation_fence.py
@@ -39,10 +39,10 @@
         """Record the receipt of an evacuation request, before the request is applied."""
         self._seen_at_s[change.kind, change.zone] = now
 
-    def may_be_stale(self, change: Change, sent_after: float) -> bool:
+    def may_be_stale(self, change: Change, idle_since_s: float) -> bool:
         """Return True if a request may predate a received opposite request, or the time when this node became primary.
 
-        `sent_after` is the time at which the connection of the request last became idle, in seconds.
+        `idle_since_s` is the time at which the connection of the request last became idle, in seconds.
         """
         opposite_seen_at_s = self._seen_at_s.get((OPPOSITE_KIND[change.kind], change.zone), -math.inf)
-        return sent_after < max(self._primary_since_s, opposite_seen_at_s)
+        return idle_since_s < max(self._primary_since_s, opposite_seen_at_s)
--- a/canvasbeam/control_plane/heartbeats.py
+++ b/canvasbeam/control_plane/heartbeats.py
@@ -19,7 +19,7 @@
 MAX_MILLISECONDS = 1 << 31
 MAX_SLOTS = 1 << 31
 
-STATE_OF_TEXT = {"ready": WorkerState.READY, "draining": WorkerState.DRAINING}
+STATE_BY_NAME = {"ready": WorkerState.READY, "draining": WorkerState.DRAINING}
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,9 +79,9 @@
 
 
 def _state(document: Mapping[str, JsonValue]) -> WorkerState:
-    state = STATE_OF_TEXT.get(str(document.get("state")))
+    state = STATE_BY_NAME.get(str(document.get("state")))
     if state is None:
-        raise _RejectedError(f"state: must be one of {', '.join(STATE_OF_TEXT)}")
+        raise _RejectedError(f"state: must be one of {', '.join(STATE_BY_NAME)}")
     return state
 
 
--- a/canvasbeam/control_plane/home_regions.py
+++ b/canvasbeam/control_plane/home_regions.py
@@ -18,7 +18,7 @@
         self._table = table
         self._version: Version | None = None
         self._document = Document()
-        self._homes: dict[str, Mapping[str, JsonValue]] = {}  # routes with home regions, by key in the document
+        self._routes: dict[str, Mapping[str, JsonValue]] = {}  # routes with home regions, by key in the document
         self._by_host: dict[str, frozenset[str]] = {}
 
     def of_host(self, host: str) -> frozenset[str] | None:
@@ -31,18 +31,18 @@
         if item is None or item.version == self._version:
             return
         self._version = item.version
-        before, self._document = self._document, item.document or document_of(json.loads(item.payload))
-        for key in self._document.changed_keys(before):
+        previous, self._document = self._document, item.document or document_of(json.loads(item.payload))
+        for key in self._document.changed_keys(previous):
             if is_of_field(key, ROUTES):
                 self._read_route(key)
-        self._by_host = home_regions_by_host(self._homes.values())
+        self._by_host = home_regions_by_host(self._routes.values())
 
     def _read_route(self, key: str) -> None:
         route = read_entry(self._document, key)
         if route is not None and route.get("home_regions"):
-            self._homes[key] = route
+            self._routes[key] = route
         else:
-            self._homes.pop(key, None)
+            self._routes.pop(key, None)
 
 
 def home_regions_by_host(routes: Iterable[Mapping[str, JsonValue]]) -> dict[str, frozenset[str]]:
--- a/canvasbeam/control_plane/json_documents.py
+++ b/canvasbeam/control_plane/json_documents.py
@@ -20,7 +20,7 @@
     Numbers that are not valid JSON or overflow a float are rejected, as is nesting deeper than `MAX_NESTING` levels.
     """
     try:
-        document = json.loads(body, parse_constant=_reject_constant, parse_float=_finite)
+        document = json.loads(body, parse_constant=_reject_constant, parse_float=_parse_finite_float)
     except (ValueError, RecursionError) as error:
         return Failure(ResultCode.CONFIG_UNREADABLE, f"the body is not a JSON document: {error}")
     if _is_nested_too_deep(document):
@@ -57,7 +57,7 @@
     raise ValueError(f"{text} is not a JSON number")
 
 
-def _finite(text: str) -> float:
+def _parse_finite_float(text: str) -> float:
     value = float(text)
     if not math.isfinite(value):
         raise ValueError(f"{text} is too large")
--- a/canvasbeam/control_plane/operator_api.py
+++ b/canvasbeam/control_plane/operator_api.py
@@ -41,8 +41,8 @@
 # Maximum size of one change. The same on all nodes and in all releases, so that no applied change is too large later.
 MAX_CHANGE_BYTES = 16 << 20
 
-CHANGE_OF_METHOD = {"PUT": ChangeKind.PUT_CONFIGURATION, "PATCH": ChangeKind.PATCH_CONFIGURATION}
-EVACUATION_OF_METHOD = {"POST": ChangeKind.START_EVACUATION, "DELETE": ChangeKind.END_EVACUATION}
+CHANGE_KIND_BY_METHOD = {"PUT": ChangeKind.PUT_CONFIGURATION, "PATCH": ChangeKind.PATCH_CONFIGURATION}
+EVACUATION_KIND_BY_METHOD = {"POST": ChangeKind.START_EVACUATION, "DELETE": ChangeKind.END_EVACUATION}
 
 STATUS_OF_CODE = {
     ResultCode.CONFIG_UNREADABLE: 400,
@@ -94,10 +94,10 @@
             return Answer(404)
         if request.method == "GET":
             return await self._read(request)
-        kind = CHANGE_OF_METHOD.get(request.method)
+        kind = CHANGE_KIND_BY_METHOD.get(request.method)
         if kind is None:
-            return method_not_allowed("GET", *CHANGE_OF_METHOD)
-        if_match = _if_match(request)
+            return method_not_allowed("GET", *CHANGE_KIND_BY_METHOD)
+        if_match = _parse_if_match(request)
         if isinstance(if_match, Failure):
             return self._failure(request, if_match)
         return await self._submit(request, Change(kind, request.body, if_match))
@@ -105,9 +105,9 @@
     async def evacuation(self, request: Request) -> Answer:
         """Serve `/v1/evacuate/ZONE`: start or end the evacuation of a zone."""
         zone = request.path.removeprefix(EVACUATION_PREFIX)
-        kind = EVACUATION_OF_METHOD.get(request.method)
+        kind = EVACUATION_KIND_BY_METHOD.get(request.method)
         if kind is None:
-            return method_not_allowed(*EVACUATION_OF_METHOD)
+            return method_not_allowed(*EVACUATION_KIND_BY_METHOD)
         if not zone or (self._settings.zones and zone not in self._settings.zones):
             return self._failure(request, Failure(ResultCode.ZONE_UNKNOWN, f"there is no zone {zone!r}"))
         return await self._evacuate(request, Change(kind, zone=zone))
@@ -137,7 +137,7 @@
     async def _evacuate(self, request: Request, change: Change) -> Answer:
         if not self._service.is_primary:
             return self._redirect_to_primary(request)
-        if request.sent_after is not None and self._evacuation_fence.may_be_stale(change, request.sent_after):
+        if request.idle_since_s is not None and self._evacuation_fence.may_be_stale(change, request.idle_since_s):
             reason = "an opposite order came, or this node began to lead, after the connection came to rest"
             return retry_on_new_connection(Failure(ResultCode.ORDER_MAY_BE_LATE, reason))
         self._evacuation_fence.record(change, asyncio.get_running_loop().time())
@@ -164,7 +164,7 @@
         task = asyncio.create_task(self._service.submit(change))
         self._changes.add(task)
         task.add_done_callback(self._changes.discard)
-        if change.kind in CHANGE_OF_METHOD.values():
+        if change.kind in CHANGE_KIND_BY_METHOD.values():
             self._configuration_changes[change] = task
             task.add_done_callback(lambda _: self._configuration_changes.pop(change, None))
         return task
@@ -202,7 +202,7 @@
         return failure_answer(307, failure, ((b"location", location.encode()),))
 
 
-def _if_match(request: Request) -> int | Failure:
+def _parse_if_match(request: Request) -> int | Failure:
     text = request.headers.get("if-match")
     if text is None:
         return Failure(ResultCode.CONFIG_NO_MATCH, "If-Match is missing")
--- a/canvasbeam/control_plane/registry.py
+++ b/canvasbeam/control_plane/registry.py
@@ -37,7 +37,7 @@
 MAX_ID_CHARACTERS = 256
 MISSED_HEARTBEATS = 3.5  # number of intervals without a heartbeat after which a worker is missing
 TICK_S = 0.5
-WRITE_WITHIN_S = 0.7  # seconds; shorter than the 1 s after which a worker tries another control node
+WRITE_TIMEOUT_S = 0.7  # seconds; shorter than the 1 s after which a worker tries another control node
 
 log = get_logger(__name__)
 
@@ -92,7 +92,7 @@
         """Announce the heartbeats received by this node; as the registrar, also publish the missing workers."""
         now_ns = self._clock()
         self._registry.forget_left(now_ns)
-        self._exchange.announce(self._registry.take_unannounced())
+        self._exchange.announce(self._registry.pop_unannounced())
         if self._exchange.has_missed_heartbeats(now_ns):
             self._registry.restart_timeouts(now_ns)
         elif self._exchange.is_registrar():
@@ -107,13 +107,13 @@
         if not worker_id or len(worker_id) > MAX_ID_CHARACTERS:
             return failure_answer(400, Failure(ResultCode.REGISTRATION_INVALID, "the id is empty or too long"))
         if request.method == "PUT":
-            return await self._take_heartbeat(worker_id, request.body)
+            return await self._handle_heartbeat(worker_id, request.body)
         if request.method == "DELETE":
             self._publish(self._registry.deregister(worker_id, self._clock()))
             return await self._acknowledge_end(worker_id, {})
         return method_not_allowed("PUT", "DELETE")
 
-    async def _take_heartbeat(self, worker_id: str, body: bytes) -> Answer:
+    async def _handle_heartbeat(self, worker_id: str, body: bytes) -> Answer:
         heartbeat = parse_heartbeat(body)
         if isinstance(heartbeat, Failure):
             log.warning("heartbeat rejected worker={} failure={}", worker_id, heartbeat)
@@ -133,7 +133,7 @@
         may have reached no other node.
         """
         item = self._node.table.get(ItemKind.WORKER, worker_id)
-        is_stored = await self._node.write([] if item is None else [item], WRITE_WITHIN_S)
+        is_stored = await self._node.write([] if item is None else [item], WRITE_TIMEOUT_S)
         return self._acknowledge(document, is_stored)
 
     def _acknowledge(self, document: dict[str, str], is_in_contact: bool) -> Answer:
--- a/canvasbeam/control_plane/web.py
+++ b/canvasbeam/control_plane/web.py
@@ -23,7 +23,7 @@
 MAX_BODIES_BYTES = 48 << 20  # total size of all request bodies that are being read or handled
 RETRY_AFTER_S = "0.2"
 CALLER_END_S = 0.02  # seconds; a delayed request and the end of its connection arrive within this time
-LOOP_ITERATIONS = 10  # more event-loop iterations than pass between the end of a connection and `http.disconnect`
+EXTRA_LOOP_ITERATIONS = 10  # more iterations than pass between the end of a connection and `http.disconnect`
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,9 @@
     query: Mapping[str, str] = field(default_factory=dict)
     headers: Mapping[str, str] = field(default_factory=dict)  # header names in lower case
     body: bytes = b""
-    sent_after: float | None = None  # earliest time of sending, in seconds of the event loop's clock; None if unknown
+    # Time at which the connection last became idle, and thus a time before the request was sent. In seconds of the
+    # event loop's clock; None if unknown.
+    idle_since_s: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +95,7 @@
 
     def __init__(self, endpoints: Sequence[Endpoint]) -> None:
         self._endpoints = endpoints
-        self._bodies_bytes = 0
+        self._total_body_bytes = 0
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one request."""
@@ -106,7 +108,7 @@
         try:
             answer = await self._answer(endpoint, scope, receive, body)
         finally:
-            self._bodies_bytes -= body.size
+            self._total_body_bytes -= body.size
         if answer is not None:
             await _send_answer(send, answer)
 
@@ -116,8 +118,8 @@
             message = await receive()
             if message["type"] == "http.disconnect":
                 return None
-            self._bodies_bytes += body.take(message)
-            if self._bodies_bytes > MAX_BODIES_BYTES:
+            self._total_body_bytes += body.add_chunk(message)
+            if self._total_body_bytes > MAX_BODIES_BYTES:
                 return unavailable(Failure(ResultCode.OVERLOADED, "too many bodies are being read"))
         if body.is_too_large:
             reason = f"the body exceeds {body.max_bytes} bytes"
@@ -140,16 +142,16 @@
         If the process stalls during the wait, the timeout expires although the event loop has not read from the socket.
         The extra event-loop iterations let the event loop read the end of the connection in that case.
         """
-        end = asyncio.create_task(self._end())
+        disconnect = asyncio.create_task(self._wait_for_disconnect())
         try:
-            await asyncio.wait({end}, timeout=CALLER_END_S)
-            for _ in range(LOOP_ITERATIONS):
+            await asyncio.wait({disconnect}, timeout=CALLER_END_S)
+            for _ in range(EXTRA_LOOP_ITERATIONS):
                 await asyncio.sleep(0)
-            return end.done()
+            return disconnect.done()
         finally:
-            end.cancel()
+            disconnect.cancel()
 
-    async def _end(self) -> None:
+    async def _wait_for_disconnect(self) -> None:
         while (await self._receive())["type"] != "http.disconnect":
             pass
 
@@ -165,7 +167,7 @@
         self._discarded = 0
         self._chunks: list[bytes] = []
 
-    def take(self, message: Message) -> int:
+    def add_chunk(self, message: Message) -> int:
         """Add the next chunk of the body; return the change of the stored size in bytes, negative on a discard."""
         chunk: bytes = message.get("body", b"")
         self.is_complete = not message.get("more_body", False)
@@ -197,7 +199,7 @@
         query={name: values[0] for name, values in query.items()},
         headers={name.decode("latin-1"): value.decode("latin-1") for name, value in scope["headers"]},
         body=body,
-        sent_after=scope.get("state", {}).get(IDLE_SINCE),
+        idle_since_s=scope.get("state", {}).get(IDLE_SINCE),
     )
 
 
--- a/canvasbeam/service_discovery/worker_registry.py
+++ b/canvasbeam/service_discovery/worker_registry.py
@@ -7,11 +7,11 @@
 | missing | no heartbeat within the timeout, declared by the registrar | ready or draining by a later heartbeat; left |
 | left | deregistration of the worker, or use of its address by another id | none: ids are never reused |
 
-`_enter` is the only function that changes a state. Every control node accepts heartbeats. The version of a publication
-is the sequence number of the heartbeat that caused it, so the publication of the latest heartbeat wins, whichever
-control node received that heartbeat. A heartbeat that reports no change is not published; control nodes only announce
-its sequence number to each other, so that the worker is not declared missing. The registrar is the only control node
-that applies the heartbeat timeout.
+`_set_version` is the only function that changes a state. Every control node accepts heartbeats. The version of a
+publication is the sequence number of the heartbeat that caused it, so the publication of the latest heartbeat wins,
+whichever control node received that heartbeat. A heartbeat that reports no change is not published; control nodes only
+announce its sequence number to each other, so that the worker is not declared missing. The registrar is the only
+control node that applies the heartbeat timeout.
 """
 
 from __future__ import annotations
@@ -129,12 +129,12 @@
         if entry.state is WorkerState.LEFT or sequence <= entry.last_sequence:
             return []
         entry.reported, entry.reported_sequence, entry.reported_at_ns = worker, sequence, now_ns
-        self._note_sequence(entry, sequence, now_ns)
+        self._record_sequence(entry, sequence, now_ns)
         self._unannounced[worker_id] = sequence
-        if not _says_something_new(entry, worker, now_ns):
+        if not _differs_from_published(entry, worker, now_ns):
             return []
         return [
-            *self._deregister_former_at(worker.address, worker_id, now_ns),
+            *self._deregister_previous_at(worker.address, worker_id, now_ns),
             self._publish_reported(worker_id, entry, now_ns),
         ]
 
@@ -147,7 +147,7 @@
         if entry.state is WorkerState.LEFT:
             return []
         version = WorkerVersion(LEFT_SEQUENCE)
-        _enter(entry, version, None, now_ns)
+        _set_version(entry, version, None, now_ns)
         return [Publication(worker_id, version, None)]
 
     def on_published(self, publication: Publication, now_ns: int) -> list[Publication]:
@@ -155,9 +155,9 @@
         entry = self._entry(publication.worker_id, now_ns)
         if publication.version <= entry.version:
             return []
-        _enter(entry, publication.version, publication.worker, now_ns)
+        _set_version(entry, publication.version, publication.worker, now_ns)
         if publication.version.revision == AS_REPORTED:
-            self._note_sequence(entry, publication.version.sequence, now_ns)
+            self._record_sequence(entry, publication.version.sequence, now_ns)
             return []
         entry.last_sequence = max(entry.last_sequence, publication.version.sequence)
         is_overtaken = entry.reported is not None and entry.reported_sequence > publication.version.sequence
@@ -168,9 +168,9 @@
     def received_elsewhere(self, heartbeats: Iterable[ReceivedHeartbeat], now_ns: int) -> None:
         """Process the sequence numbers of heartbeats that another control node received."""
         for heartbeat in heartbeats:
-            self._note_sequence(self._entry(heartbeat.worker_id, now_ns), heartbeat.sequence, now_ns)
+            self._record_sequence(self._entry(heartbeat.worker_id, now_ns), heartbeat.sequence, now_ns)
 
-    def take_unannounced(self) -> list[ReceivedHeartbeat]:
+    def pop_unannounced(self) -> list[ReceivedHeartbeat]:
         """Return the heartbeats received by this node since the last call, for announcement to other control nodes."""
         unannounced = [ReceivedHeartbeat(worker_id, sequence) for worker_id, sequence in self._unannounced.items()]
         self._unannounced.clear()
@@ -201,16 +201,16 @@
 
     def _publish_missing(self, worker_id: str, entry: _Entry, worker: Worker, now_ns: int) -> Publication:
         version = WorkerVersion(max(entry.last_sequence, entry.version.sequence), DECLARED_MISSING)
-        _enter(entry, version, replace(worker, state=WorkerState.MISSING), now_ns)
+        _set_version(entry, version, replace(worker, state=WorkerState.MISSING), now_ns)
         return Publication(worker_id, version, entry.worker)
 
     def _publish_reported(self, worker_id: str, entry: _Entry, now_ns: int) -> Publication:
         """Publish the state in the last heartbeat received by this node."""
         version = WorkerVersion(entry.reported_sequence)
-        _enter(entry, version, entry.reported, now_ns)
+        _set_version(entry, version, entry.reported, now_ns)
         return Publication(worker_id, version, entry.reported)
 
-    def _deregister_former_at(self, address: str, worker_id: str, now_ns: int) -> list[Publication]:
+    def _deregister_previous_at(self, address: str, worker_id: str, now_ns: int) -> list[Publication]:
         """Deregister all other workers that are published with the address of a worker."""
         former = [
             other_id
@@ -219,7 +219,7 @@
         ]
         return [publication for other_id in former for publication in self.deregister(other_id, now_ns)]
 
-    def _note_sequence(self, entry: _Entry, sequence: int, now_ns: int) -> None:
+    def _record_sequence(self, entry: _Entry, sequence: int, now_ns: int) -> None:
         if entry.last_sequence < sequence < LEFT_SEQUENCE:
             entry.last_sequence = sequence
             entry.last_seen_at_ns = now_ns
@@ -235,7 +235,7 @@
     return entry.worker is None and now_ns - max(entry.last_seen_at_ns, entry.published_at_ns) > FORGET_AFTER_NS
 
 
-def _enter(entry: _Entry, version: WorkerVersion, worker: Worker | None, now_ns: int) -> None:
+def _set_version(entry: _Entry, version: WorkerVersion, worker: Worker | None, now_ns: int) -> None:
     """Set the version and the published state of a worker; the new version must be higher than the current one."""
     assert version > entry.version
     entry.version = version
@@ -243,7 +243,7 @@
     entry.published_at_ns = now_ns
 
 
-def _says_something_new(entry: _Entry, reported: Worker, now_ns: int) -> bool:
+def _differs_from_published(entry: _Entry, reported: Worker, now_ns: int) -> bool:
     published = entry.worker
     if published is None:
         return True
--- a/tests/service_discovery/test_directory.py
+++ b/tests/service_discovery/test_directory.py
@@ -22,15 +22,15 @@
 ]  # fmt: skip
 
 
-def test_two_nodes_of_the_own_zone_are_enough() -> None:
+def test_client_gets_only_its_zone_if_two_nodes_are_ready_there() -> None:
     assert choose_addresses(NODES, ClientLocation("z1", "r1")) == ["10.1.0.1:80", "10.1.0.2:80"]
 
 
-def test_one_node_of_the_own_zone_is_helped_by_its_region() -> None:
+def test_client_gets_its_region_if_its_zone_has_one_ready_node() -> None:
     assert choose_addresses(NODES, ClientLocation("z2", "r1")) == ["10.1.0.3:80", "10.1.0.1:80", "10.1.0.2:80"]
 
 
-def test_one_node_of_the_own_region_is_helped_by_all() -> None:
+def test_client_gets_all_nodes_if_its_region_has_one_ready_node() -> None:
     assert choose_addresses(NODES, ClientLocation("z3", "r2")) == [
         "10.2.0.1:80",
         "10.1.0.1:80",
@@ -39,11 +39,11 @@
     ]
 
 
-def test_client_from_elsewhere_gets_all() -> None:
+def test_client_without_a_location_gets_all_nodes() -> None:
     assert len(choose_addresses(NODES, ClientLocation("", ""))) == 4
 
 
-HOMES = [
+REGIONAL_NODES = [
     DataPlaneNode("10.1.0.1:80", "z1", "r1"), DataPlaneNode("10.1.0.2:80", "z1", "r1"),
     DataPlaneNode("10.2.0.1:80", "z2", "r2"), DataPlaneNode("10.2.0.2:80", "z2", "r2"),
     DataPlaneNode("10.3.0.1:80", "z3", "r3"), DataPlaneNode("10.3.0.2:80", "z3", "r3"),
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    ("left", "homes", "regions"),
+    ("ready_in_own_region", "home_regions", "regions"),
     [
         (2, {"r2"}, {"r1"}),  # two ready nodes in the own region suffice
         (1, {"r1", "r2"}, {"r1", "r2"}),
@@ -59,19 +59,21 @@
         (1, {"r1"}, {"r1"}),  # one ready node in a home region is preferred to nodes outside the home regions
         (1, set(), {"r1"}),  # the routes of the host have no home region in common
         (0, {"r1", "r2"}, {"r2"}),
-        (0, {"r1"}, {"r2", "r3"}),  # no node is left in any home region
+        (0, {"r1"}, {"r2", "r3"}),  # no node remains in a home region
     ],
 )
-def test_a_client_is_sent_to_its_own_region_or_to_a_home(left: int, homes: set[str], regions: set[str]) -> None:
-    gone = {node.front for node in HOMES[left:2]}
-    nodes = [node for node in HOMES if node.front not in gone]
-    addresses = choose_addresses(nodes, ClientLocation("z1", "r1"), frozenset(homes))
+def test_client_gets_its_own_region_or_home_regions(
+    ready_in_own_region: int, home_regions: set[str], regions: set[str]
+) -> None:
+    removed = {node.front for node in REGIONAL_NODES[ready_in_own_region:2]}
+    nodes = [node for node in REGIONAL_NODES if node.front not in removed]
+    addresses = choose_addresses(nodes, ClientLocation("z1", "r1"), frozenset(home_regions))
     assert {node.region for node in nodes if node.front in addresses} == regions
     assert addresses == sorted(addresses)  # the addresses of the client's own region sort first
 
 
 @pytest.mark.parametrize(
-    ("alive", "homes", "regions"),
+    ("draining_regions", "home_regions", "regions"),
     [
         # A rolling restart has reached all nodes of the home regions; draining nodes still accept connections.
         ("r1 r2", {"r1", "r2"}, {"r1", "r2"}),
@@ -80,23 +82,31 @@
         ("", {"r1", "r2"}, {"r3"}),
     ],
 )
-def test_nodes_that_end_at_home_go_before_nodes_elsewhere(alive: str, homes: set[str], regions: set[str]) -> None:
-    ending = [replace(node, is_ready=False) for node in HOMES[:4] if node.region in alive.split()]
-    nodes = [*ending, *HOMES[4:]]
-    addresses = choose_addresses(nodes, ClientLocation("z1", "r1"), frozenset(homes))
+def test_draining_nodes_in_home_regions_are_preferred_to_ready_nodes_elsewhere(
+    draining_regions: str, home_regions: set[str], regions: set[str]
+) -> None:
+    draining = [replace(node, is_ready=False) for node in REGIONAL_NODES[:4] if node.region in draining_regions.split()]
+    nodes = [*draining, *REGIONAL_NODES[4:]]
+    addresses = choose_addresses(nodes, ClientLocation("z1", "r1"), frozenset(home_regions))
     assert {node.region for node in nodes if node.front in addresses} == regions
-    assert choose_addresses(nodes, ClientLocation("z1", "r1")) == [node.front for node in HOMES[4:]]
+    assert choose_addresses(nodes, ClientLocation("z1", "r1")) == [node.front for node in REGIONAL_NODES[4:]]
 
 
-def test_nodes_that_end_are_not_named_beside_one_that_is_ready() -> None:
-    nodes = [HOMES[0], replace(HOMES[1], is_ready=False), replace(HOMES[2], is_ready=False), HOMES[3], HOMES[4]]
+def test_draining_nodes_are_omitted_if_a_ready_node_exists() -> None:
+    nodes = [
+        REGIONAL_NODES[0],
+        replace(REGIONAL_NODES[1], is_ready=False),
+        replace(REGIONAL_NODES[2], is_ready=False),
+        REGIONAL_NODES[3],
+        REGIONAL_NODES[4],
+    ]
     assert choose_addresses(nodes, ClientLocation("z1", "r1"), frozenset({"r1", "r2"})) == [
-        HOMES[0].front,
-        HOMES[3].front,
+        REGIONAL_NODES[0].front,
+        REGIONAL_NODES[3].front,
     ]
 
 
-def test_addresses_are_bounded() -> None:
+def test_number_of_addresses_is_limited() -> None:
     many = [DataPlaneNode(f"10.0.{n // 250}.{n % 250}:80", "z1", "r1") for n in range(300)]
     assert len(choose_addresses(many, ClientLocation("z1", "r1"))) == MAX_ADDRESSES
 
@@ -124,8 +134,8 @@
     table.merge([Item(ItemKind.CONFIGURATION, "current", Version(version), payload)])
 
 
-def route(host: str, *homes: str) -> dict[str, object]:
-    return {"name": f"route-{host}", "host": host, "prefix": "/a/", "home_regions": list(homes)}
+def route(host: str, *home_regions: str) -> dict[str, object]:
+    return {"name": f"route-{host}", "host": host, "prefix": "/a/", "home_regions": list(home_regions)}
 
 
 def resolve(
@@ -133,24 +143,24 @@
     ttl_max_s: float = 5,
     method: str = "GET",
     path: str = "/v1/resolve",
-    homes: HomeRegions | None = None,
+    home_regions: HomeRegions | None = None,
 ) -> Answer:
-    directory = Directory(settings(ttl_max_s), lambda: members, homes or HomeRegions(ItemTable()))
+    directory = Directory(settings(ttl_max_s), lambda: members, home_regions or HomeRegions(ItemTable()))
     request = Request(method, path, {"name": "a.example", "region": "r1", "zone": "z1"})
     return asyncio.run(directory.resolve(request))
 
 
-def test_answer_names_ready_nodes_and_a_short_time() -> None:
+def test_answer_contains_ready_nodes_and_a_short_ttl() -> None:
     answer = resolve(member("10.1.0.1:80"), member("10.1.0.2:80", ready=False), member("", is_control=True))
     assert answer.status == 200
     assert json.loads(answer.body) == {"addresses": ["10.1.0.1:80"], "ttl_s": 1.0}
 
 
-def test_time_is_within_the_deployment_s_bound() -> None:
+def test_ttl_is_limited_by_the_settings() -> None:
     assert json.loads(resolve(member("10.1.0.1:80"), ttl_max_s=0.5).body)["ttl_s"] == 0.5
 
 
-def test_no_node_is_a_failure_and_not_an_empty_list() -> None:
+def test_no_ready_node_is_answered_503_without_addresses() -> None:
     answer = resolve(member("10.1.0.2:80", ready=False))
     assert answer.status == 503
     assert b"addresses" not in answer.body
@@ -161,7 +171,7 @@
     assert resolve(member("10.1.0.1:80"), path="/v1/resolver").status == 404
 
 
-EDGES = [
+MEMBERS = [
     member("10.1.0.1:80"),
     member("10.1.0.2:80", ready=False),  # draining
     member("10.2.0.1:80", zone="z2", region="r2"),
@@ -169,12 +179,12 @@
 ]
 
 
-def addresses_with(homes: HomeRegions) -> list[str]:
-    addresses: list[str] = json.loads(resolve(*EDGES, homes=homes).body)["addresses"]
+def addresses_with(home_regions: HomeRegions) -> list[str]:
+    addresses: list[str] = json.loads(resolve(*MEMBERS, home_regions=home_regions).body)["addresses"]
     return addresses
 
 
-def test_while_one_of_two_nodes_ends_clients_of_a_host_with_homes_are_not_sent_elsewhere() -> None:
+def test_client_of_host_with_home_regions_gets_no_other_region_while_a_node_drains() -> None:
     assert addresses_with(HomeRegions(table_with_routes(route("A.example", "r1", "r2")))) == [
         "10.1.0.1:80",
         "10.2.0.1:80",
@@ -184,31 +194,33 @@
     ]  # fmt: skip
 
 
-def test_home_regions_are_those_of_the_configuration_now_in_force() -> None:
+def test_home_regions_follow_the_current_configuration() -> None:
     table = table_with_routes(route("a.example", "r1", "r2"))
-    homes = HomeRegions(table)
-    assert len(addresses_with(homes)) == 2
+    home_regions = HomeRegions(table)
+    assert len(addresses_with(home_regions)) == 2
     configure(table, route("a.example", "r1"), version=2)
-    assert addresses_with(homes) == ["10.1.0.1:80"]
+    assert addresses_with(home_regions) == ["10.1.0.1:80"]
     configure(table, route("a.example"), version=3)
-    assert len(addresses_with(homes)) == 3
+    assert len(addresses_with(home_regions)) == 3
 
 
-def test_home_regions_of_a_host_are_those_that_all_its_routes_with_homes_share() -> None:
+def test_home_regions_of_a_host_are_common_to_all_its_routes_with_home_regions() -> None:
     routes = [route("a", "r1", "r2"), route("a", "r2", "r3"), route("a"), route("b", "r1"), route("c")]
     assert home_regions_by_host(routes) == {"a": {"r2"}, "b": {"r1"}}
 
 
-def test_a_node_that_no_other_is_known_to_reach_directs_nobody() -> None:
+def test_unreachable_node_answers_503_without_addresses() -> None:
     """Guards against stale addresses from a node without contact to other nodes.
 
     The members known to such a node may be out of date, after a stall of its process or while it is isolated.
     """
-    heard = [False]
-    directory = Directory(settings(), lambda: [member("10.1.0.1:80")], HomeRegions(ItemTable()), lambda: heard[0])
+    is_reachable = [False]
+    directory = Directory(
+        settings(), lambda: [member("10.1.0.1:80")], HomeRegions(ItemTable()), lambda: is_reachable[0]
+    )
     request = Request("GET", "/v1/resolve", {"name": "a.example", "region": "r1", "zone": "z1"})
     answer = asyncio.run(directory.resolve(request))
     assert answer.status == 503
     assert b"addresses" not in answer.body
-    heard[0] = True
+    is_reachable[0] = True
     assert asyncio.run(directory.resolve(request)).status == 200
--- a/tests/service_discovery/test_directory_ended.py
+++ b/tests/service_discovery/test_directory_ended.py
@@ -16,7 +16,7 @@
 from tests.support.cluster_network import MS, SECOND, Host, Network
 
 BOUNDS = Bounds()
-NAMED_AT_MOST = round(BOUNDS.contact_ms * MS) + 3 * SECOND
+MAX_LISTED_NS = round(BOUNDS.contact_ms * MS) + 3 * SECOND
 SETTINGS = ProcessSettings(
     node="core", role="core", node_class="core", serves=("control", "directory"), ip="10.0.0.2", zone="region-0",
     region="region-0", port_range=(7660, 7675), seeds=(), bounds=BOUNDS,
@@ -33,27 +33,27 @@
         for edge in self.edges:
             self.network.set_ready(edge, True)
         self.network.run_until(
-            lambda: all(self.named_at(control) == self.fronts() for control in self.controls), SECOND
+            lambda: all(self.listed_at(control) == self.addresses() for control in self.controls), SECOND
         )
 
-    def fronts(self) -> set[str]:
+    def addresses(self) -> set[str]:
         return {edge.member.front for edge in self.edges}
 
-    def named_at(self, control: Host) -> set[str]:
+    def listed_at(self, control: Host) -> set[str]:
         """Return the addresses that a control node gives to at least one client."""
         members = control.core.members(self.network.now)
         directory = Directory(SETTINGS, lambda: members, HomeRegions(ItemTable()))
-        named: set[str] = set()
+        listed: set[str] = set()
         for region in {edge.member.region for edge in self.edges}:
             request = Request("GET", "/v1/resolve", {"name": "a.example", "region": region, "zone": region})
             answer = asyncio.run(directory.resolve(request))
             if answer.status == 200:
-                named |= set(json.loads(answer.body)["addresses"])
-        return named
+                listed |= set(json.loads(answer.body)["addresses"])
+        return listed
 
-    def is_named(self, *ended: Host) -> bool:
-        fronts = {action.member.front for action in ended}
-        return any(self.named_at(control) & fronts for control in self.controls if control.is_running)
+    def is_listed(self, *stopped: Host) -> bool:
+        addresses = {host.member.front for host in stopped}
+        return any(self.listed_at(control) & addresses for control in self.controls if control.is_running)
 
 
 def lose_power(fleet: Fleet, host: Host) -> None:
@@ -64,48 +64,48 @@
     fleet.network.kill(host)
 
 
-def end_as_planned(fleet: Fleet, host: Host) -> None:
+def stop_gracefully(fleet: Fleet, host: Host) -> None:
     fleet.network.set_ready(host, False)
     fleet.network.leave(host)
     fleet.network.kill(host)
 
 
-ENDS = [lose_power, kill, end_as_planned]
+WAYS_TO_STOP = [lose_power, kill, stop_gracefully]
 
 
 @pytest.mark.parametrize("datagram_loss", [0.0, 0.05])
-@pytest.mark.parametrize("end", ENDS)
-def test_directories_name_no_machine_that_ended_a_while_ago(
-    end: Callable[[Fleet, Host], None], datagram_loss: float
+@pytest.mark.parametrize("stop", WAYS_TO_STOP)
+def test_stopped_machine_is_not_listed_after_the_maximum_time(
+    stop: Callable[[Fleet, Host], None], datagram_loss: float
 ) -> None:
     for seed in range(1, 4):
         fleet = Fleet(3, 6, seed, datagram_loss)
-        end(fleet, fleet.edges[0])
-        fleet.network.run_until(lambda: not fleet.is_named(fleet.edges[0]), NAMED_AT_MOST)  # noqa: B023
+        stop(fleet, fleet.edges[0])
+        fleet.network.run_until(lambda: not fleet.is_listed(fleet.edges[0]), MAX_LISTED_NS)  # noqa: B023
         fleet.network.run(3 * SECOND)
-        assert not fleet.is_named(fleet.edges[0])
+        assert not fleet.is_listed(fleet.edges[0])
 
 
-@pytest.mark.parametrize("end", ENDS)
-def test_directories_name_no_machine_that_ended_together_with_those_that_watch_it(
-    end: Callable[[Fleet, Host], None],
+@pytest.mark.parametrize("stop", WAYS_TO_STOP)
+def test_machine_stopped_together_with_its_monitors_is_not_listed_after_the_maximum_time(
+    stop: Callable[[Fleet, Host], None],
 ) -> None:
     fleet = Fleet(3, 9, 1)
     lost = [edge for edge in fleet.edges if edge.member.region == "region-0"]
     lose_power(fleet, fleet.controls[0])
     for item in lost:
-        end(fleet, item)
-    fleet.network.run_until(lambda: not fleet.is_named(*lost), NAMED_AT_MOST)
+        stop(fleet, item)
+    fleet.network.run_until(lambda: not fleet.is_listed(*lost), MAX_LISTED_NS)
 
 
-def test_a_machine_that_ends_as_planned_is_named_no_longer_at_once() -> None:
+def test_gracefully_stopping_machine_is_removed_immediately() -> None:
     fleet = Fleet(3, 6, 1)
     fleet.network.set_ready(fleet.edges[0], False)
-    fleet.network.run_until(lambda: not fleet.is_named(fleet.edges[0]), 200 * MS)
-    assert fleet.named_at(fleet.controls[0]) == fleet.fronts() - {fleet.edges[0].member.front}
+    fleet.network.run_until(lambda: not fleet.is_listed(fleet.edges[0]), 200 * MS)
+    assert fleet.listed_at(fleet.controls[0]) == fleet.addresses() - {fleet.edges[0].member.front}
 
 
-def test_a_machine_that_has_started_again_is_named_again() -> None:
+def test_restarted_machine_is_listed_again() -> None:
     fleet = Fleet(3, 6, 1)
     kill(fleet, fleet.edges[0])
     fleet.network.run(500 * MS)
@@ -113,5 +113,5 @@
     fleet.network.run(SECOND)
     fleet.network.set_ready(restarted, True)
     fleet.network.run_until(
-        lambda: all(fleet.named_at(control) == fleet.fronts() for control in fleet.controls), SECOND
+        lambda: all(fleet.listed_at(control) == fleet.addresses() for control in fleet.controls), SECOND
     )
