--- a/canvasbeam/control_plane/change_check.py
+++ b/canvasbeam/control_plane/change_check.py
@@ -36,6 +36,6 @@
         self._checked.pop(id(change), None)
 
     def apply(self, state: ControlState, change: Change) -> ControlState | Failure:
-        """Apply a change, and skip the structure check if `begin` has already done it."""
+        """Apply a change, without a structure check if the change has passed the check in `begin`."""
         apply = self._apply_checked if id(change) in self._checked else self._apply
         return apply(state, change)
--- a/canvasbeam/control_plane/evacuation_fence.py
+++ b/canvasbeam/control_plane/evacuation_fence.py
@@ -32,7 +32,7 @@
         self._seen_at_s: dict[tuple[ChangeKind, str], float] = {}
 
     def become_primary(self, now: float) -> None:
-        """Record the time at which this node became the primary; requests to earlier primaries are unknown here."""
+        """Record when this node became the primary; requests received by earlier primaries are unknown to this node."""
         self._primary_since_s = now
 
     def record(self, change: Change, now: float) -> None:
--- a/canvasbeam/control_plane/json_documents.py
+++ b/canvasbeam/control_plane/json_documents.py
@@ -1,4 +1,4 @@
-"""Parse JSON documents of operators; reject Python's extensions of JSON and nesting that later steps cannot handle."""
+"""Parse JSON documents of operators; reject non-standard numbers, and nesting too deep for recursive functions."""
 
 from __future__ import annotations
 
--- a/canvasbeam/control_plane/publisher.py
+++ b/canvasbeam/control_plane/publisher.py
@@ -21,7 +21,7 @@
 
 
 class StatePublisher:
-    """Publishes each committed state. Every control node does so, and the first publication suffices.
+    """Publishes each committed control state. Every control node publishes the state; the first publication suffices.
 
     Owns the indexes of the configuration and of the evacuations that were published last.
     """
--- a/canvasbeam/control_plane/registry.py
+++ b/canvasbeam/control_plane/registry.py
@@ -37,7 +37,7 @@
 MAX_ID_CHARACTERS = 256
 MISSED_HEARTBEATS = 3.5  # number of intervals without a heartbeat after which a worker is missing
 TICK_S = 0.5
-WRITE_TIMEOUT_S = 0.7  # seconds; shorter than the 1 s after which a worker tries another control node
+WRITE_TIMEOUT_S = 0.7  # seconds; less than the 1 s after which a worker without an answer tries another control node
 
 log = get_logger(__name__)
 
--- a/canvasbeam/control_plane/worker_snapshot.py
+++ b/canvasbeam/control_plane/worker_snapshot.py
@@ -59,7 +59,7 @@
 
 
 class WorkerSnapshot:
-    """Restores the workers at the start, and then saves the known workers every `SAVE_INTERVAL_S` seconds."""
+    """Restores workers when the control node starts, and then saves its known workers every `SAVE_INTERVAL_S`."""
 
     def __init__(self, node: SnapshotNode, disk: Disk, clock: Callable[[], int] = time.time_ns) -> None:
         self._node = node
--- a/canvasbeam/service_discovery/worker_registry.py
+++ b/canvasbeam/service_discovery/worker_registry.py
@@ -151,7 +151,7 @@
         return [Publication(worker_id, version, None)]
 
     def on_published(self, publication: Publication, now_ns: int) -> list[Publication]:
-        """Process a publication of any node; return a correction if a later heartbeat refutes a declared timeout."""
+        """Process a publication of any node; return a correction if a later heartbeat contradicts a missing state."""
         entry = self._entry(publication.worker_id, now_ns)
         if publication.version <= entry.version:
             return []
--- a/tests/service_discovery/test_directory.py
+++ b/tests/service_discovery/test_directory.py
@@ -53,9 +53,9 @@
 @pytest.mark.parametrize(
     ("ready_in_own_region", "home_regions", "regions"),
     [
-        (2, {"r2"}, {"r1"}),  # two ready nodes in the own region suffice
+        (2, {"r2"}, {"r1"}),  # two ready nodes in the client's region suffice
         (1, {"r1", "r2"}, {"r1", "r2"}),
-        (1, {"r2", "r3"}, {"r1", "r2", "r3"}),  # the own region is used even if it is not a home region
+        (1, {"r2", "r3"}, {"r1", "r2", "r3"}),  # the client's region is used even if it is not a home region
         (1, {"r1"}, {"r1"}),  # one ready node in a home region is preferred to nodes outside the home regions
         (1, set(), {"r1"}),  # the routes of the host have no home region in common
         (0, {"r1", "r2"}, {"r2"}),
@@ -69,7 +69,7 @@
     nodes = [node for node in REGIONAL_NODES if node.front not in removed]
     addresses = choose_addresses(nodes, ClientLocation("z1", "r1"), frozenset(home_regions))
     assert {node.region for node in nodes if node.front in addresses} == regions
-    assert addresses == sorted(addresses)  # the addresses of the client's own region sort first
+    assert addresses == sorted(addresses)  # in sorted order, the addresses of the client's own region come first
 
 
 @pytest.mark.parametrize(
@@ -173,7 +173,7 @@
 
 MEMBERS = [
     member("10.1.0.1:80"),
-    member("10.1.0.2:80", ready=False),  # draining
+    member("10.1.0.2:80", ready=False),  # a draining node
     member("10.2.0.1:80", zone="z2", region="r2"),
     member("10.3.0.1:80", zone="z3", region="r3"),
 ]
