--- a/canvasbeam/control_plane/home_regions.py
+++ b/canvasbeam/control_plane/home_regions.py
@@ -1,4 +1,4 @@
-"""Look up the home regions of each host in the configuration that this node has."""
+"""Look up the home regions of each host in the configuration stored at this node."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class HomeRegions:
-    """Owns the home regions by host; what changed in a configuration is read at the first look-up after it."""
+    """Owns the home regions by host; the first lookup after a new configuration reads the changed routes."""
 
     def __init__(self, table: ItemTable) -> None:
         self._table = table
         self._version: Version | None = None
         self._document = Document()
-        self._homes: dict[str, Mapping[str, JsonValue]] = {}  # the routes with homes, by their keys in the document
+        self._routes: dict[str, Mapping[str, JsonValue]] = {}  # routes with home regions, by key in the document
         self._by_host: dict[str, frozenset[str]] = {}
 
     def of_host(self, host: str) -> frozenset[str] | None:
-        """Return the regions that are a home for every route with homes of this host; None where no route has any."""
+        """Return the home regions common to all routes of a host that have home regions; None if no route has any."""
         self._read_configuration()
         return self._by_host.get(host.lower())
 
@@ -31,22 +31,22 @@
         if item is None or item.version == self._version:
             return
         self._version = item.version
-        before, self._document = self._document, item.document or document_of(json.loads(item.payload))
-        for key in self._document.changed_keys(before):
+        previous, self._document = self._document, item.document or document_of(json.loads(item.payload))
+        for key in self._document.changed_keys(previous):
             if is_of_field(key, ROUTES):
                 self._read_route(key)
-        self._by_host = home_regions_by_host(self._homes.values())
+        self._by_host = home_regions_by_host(self._routes.values())
 
     def _read_route(self, key: str) -> None:
         route = read_entry(self._document, key)
         if route is not None and route.get("home_regions"):
-            self._homes[key] = route
+            self._routes[key] = route
         else:
-            self._homes.pop(key, None)
+            self._routes.pop(key, None)
 
 
 def home_regions_by_host(routes: Iterable[Mapping[str, JsonValue]]) -> dict[str, frozenset[str]]:
-    """Return for each host with homes the regions that all its routes with homes share."""
+    """Return, by host, the home regions common to all routes of the host that have home regions."""
     by_host: dict[str, frozenset[str]] = {}
     for route in routes:
         homes = frozenset(route.get("home_regions") or ())
