--- a/canvasbeam/control_plane/operator_api.py
+++ b/canvasbeam/control_plane/operator_api.py
@@ -1,7 +1,7 @@
 """Serve the operator's requests: the configuration, evacuations, removals, and the status of this node.
 
 Owns the changes and reads in progress at this node. Only the primary handles them; other nodes redirect the caller to
-the primary. A change that takes longer than `ANSWER_WITHIN_S` is answered 503, which leaves the outcome of the change
+the primary. A change that takes longer than `ANSWER_TIMEOUT_S` is answered 503, which leaves the outcome of the change
 open; the change continues at this node and is never cancelled. A retry of a configuration change is recognized if the
 change has been applied, and joins the change if it is still in progress. An evacuation request never joins an earlier
 one: the request defines the state of the zone from now on, and the earlier request may meanwhile have been reverted
@@ -35,7 +35,7 @@
 EVACUATION_PREFIX = "/v1/evacuate/"
 REMOVAL_PREFIX = "/v1/control/remove/"
 STATUS_PATH = "/v1/status"
-ANSWER_WITHIN_S = 0.83  # seconds; with the wait of `web.CALLER_END_S` before, below the 1 s timeout of callers
+ANSWER_TIMEOUT_S = 0.83  # seconds; with the wait of `web.CALLER_END_S` before, below the 1 s timeout of callers
 MAX_CHANGES_IN_PROGRESS = 64
 MAX_MATCH_DIGITS = 19  # decimal digits of the largest generation
 # Maximum size of one change. All nodes and releases use the same limit, so that no applied change is too large later.
@@ -151,7 +151,7 @@
             if len(self._changes) >= MAX_CHANGES_IN_PROGRESS:
                 return unavailable(Failure(ResultCode.OVERLOADED, "too many orders are in progress"))
             task = self._start(change)
-        await asyncio.wait({task}, timeout=ANSWER_WITHIN_S)
+        await asyncio.wait({task}, timeout=ANSWER_TIMEOUT_S)
         if not task.done():
             return unavailable(Failure(ResultCode.REPLICATION_TIMEOUT, "the order is still in progress"))
         result = task.result()
@@ -175,7 +175,7 @@
         task = asyncio.create_task(self._service.read())
         self._reads.add(task)
         task.add_done_callback(self._reads.discard)
-        await asyncio.wait({task}, timeout=ANSWER_WITHIN_S)
+        await asyncio.wait({task}, timeout=ANSWER_TIMEOUT_S)
         if not task.done():
             task.cancel()
             return unavailable(Failure(ResultCode.REPLICATION_TIMEOUT, "the read was not confirmed in time"))
