--- a/canvasbeam/control_plane/operator_api.py
+++ b/canvasbeam/control_plane/operator_api.py
@@ -129,7 +129,7 @@
             return method_not_allowed("GET")
         return json_answer(200, self._status())
 
-    def on_primary(self, ip: str | None) -> None:
+    def on_primary_changed(self, ip: str | None) -> None:
         """Handle a change of the primary: `ip` is the address of the new primary, or None if no primary is known."""
         if ip == self._settings.ip:
             self._evacuation_fence.become_primary(asyncio.get_running_loop().time())
--- a/canvasbeam/control_plane/program.py
+++ b/canvasbeam/control_plane/program.py
@@ -67,7 +67,7 @@
         self._operator = OperatorApi(
             settings, self._service, self._is_reachable, lambda: status_document(settings, self._node, self._service)
         )
-        self._service.add_primary_listener(self._operator.on_primary)
+        self._service.add_primary_listener(self._operator.on_primary_changed)
         self._servers = self._make_servers(settings, listeners or {})
         disk = FolderDisk(settings.data_dir) if settings.data_dir is not None else None
         self._snapshot = WorkerSnapshot(self._node, disk) if disk is not None else None
--- a/tests/control_plane/test_evacuation_fence.py
+++ b/tests/control_plane/test_evacuation_fence.py
@@ -112,9 +112,9 @@
     async def body(server: HttpServer, api: OperatorApi) -> None:
         older = await Client.connect(server)
         assert await older.call("POST") == 200
-        api.on_primary("10.2.0.30")
+        api.on_primary_changed("10.2.0.30")
         assert await older.call("POST") == 200
-        api.on_primary(SETTINGS.ip)
+        api.on_primary_changed(SETTINGS.ip)
         assert await older.call("DELETE") == 503
         newer = await Client.connect(server)
         assert await newer.call("DELETE") == 200
--- a/tests/support/change_simulation.py
+++ b/tests/support/change_simulation.py
@@ -230,7 +230,7 @@
             and self.member.state.known_primary.member != self._told_primary
         ):
             self._told_primary = self.member.state.known_primary.member
-            self._api.on_primary(self.primary_ip)
+            self._api.on_primary_changed(self.primary_ip)
 
     def _apply(self, state: ControlState, change: Change) -> ControlState | Failure:
         outcome = changes.apply(state, change)
