--- a/canvasbeam/control_plane/operator_api.py
+++ b/canvasbeam/control_plane/operator_api.py
@@ -35,7 +35,7 @@
 EVACUATION_PREFIX = "/v1/evacuate/"
 REMOVAL_PREFIX = "/v1/control/remove/"
 STATUS_PATH = "/v1/status"
-ANSWER_TIMEOUT_S = 0.83  # seconds; with the wait of `web.CALLER_END_S` before, below the 1 s timeout of callers
+ANSWER_TIMEOUT_S = 0.83  # seconds; with the wait of `web.DISCONNECT_WAIT_S` before, below the 1 s timeout of callers
 MAX_CHANGES_IN_PROGRESS = 64
 MAX_MATCH_DIGITS = 19  # decimal digits of the largest generation
 # Maximum size of one change. All nodes and releases use the same limit, so that no applied change is too large later.
--- a/canvasbeam/control_plane/web.py
+++ b/canvasbeam/control_plane/web.py
@@ -22,7 +22,7 @@
 MAX_DISCARDED_BYTES = 64 << 20  # bytes to discard of an oversized body, so that the sender can read the answer
 MAX_BODIES_BYTES = 48 << 20  # total size of all request bodies that are being read or handled
 RETRY_AFTER_S = "0.2"
-CALLER_END_S = 0.02  # seconds; a delayed request and the end of its connection arrive within this time
+DISCONNECT_WAIT_S = 0.02  # seconds; a delayed request and the end of its connection arrive within this time
 EXTRA_LOOP_ITERATIONS = 10  # more iterations than pass between the end of a connection and `http.disconnect`
 
 
@@ -137,14 +137,14 @@
         self._receive = receive
 
     async def has_disconnected(self) -> bool:
-        """Return True if the connection has ended after the request, or ends within `CALLER_END_S`.
+        """Return True if the connection has ended after the request, or ends within `DISCONNECT_WAIT_S`.
 
         If the process stalls during the wait, the timeout expires although the event loop has not read from the socket.
         The extra event-loop iterations let the event loop read the end of the connection in that case.
         """
         disconnect = asyncio.create_task(self._wait_for_disconnect())
         try:
-            await asyncio.wait({disconnect}, timeout=CALLER_END_S)
+            await asyncio.wait({disconnect}, timeout=DISCONNECT_WAIT_S)
             for _ in range(EXTRA_LOOP_ITERATIONS):
                 await asyncio.sleep(0)
             return disconnect.done()
