--- a/canvasbeam/control_plane/registry.py
+++ b/canvasbeam/control_plane/registry.py
@@ -166,4 +166,4 @@
         self._publish(corrections)
 
     def _on_announced(self, heartbeats: Iterable[ReceivedHeartbeat]) -> None:
-        self._registry.received_elsewhere(heartbeats, self._clock())
+        self._registry.record_remote_heartbeats(heartbeats, self._clock())
--- a/canvasbeam/service_discovery/worker_registry.py
+++ b/canvasbeam/service_discovery/worker_registry.py
@@ -165,7 +165,7 @@
             return []
         return [self._publish_reported(publication.worker_id, entry, now_ns)]
 
-    def received_elsewhere(self, heartbeats: Iterable[ReceivedHeartbeat], now_ns: int) -> None:
+    def record_remote_heartbeats(self, heartbeats: Iterable[ReceivedHeartbeat], now_ns: int) -> None:
         """Process the sequence numbers of heartbeats that another control node received."""
         for heartbeat in heartbeats:
             self._record_sequence(self._entry(heartbeat.worker_id, now_ns), heartbeat.sequence, now_ns)
--- a/tests/replication/test_bounded_memory.py
+++ b/tests/replication/test_bounded_memory.py
@@ -39,7 +39,7 @@
     [missing] = registry.declare_missing(2)
     assert missing.worker is not None
     assert missing.worker.state is WorkerState.MISSING
-    registry.received_elsewhere([ReceivedHeartbeat("i-unknown", 4)], 0)
+    registry.record_remote_heartbeats([ReceivedHeartbeat("i-unknown", 4)], 0)
     registry.forget_left(worker_registry.FORGET_AFTER_NS)
     assert len(registry._entries) == 102
     assert registry.heartbeat("i-7", 2, WORKER, worker_registry.FORGET_AFTER_NS) == []
--- a/tests/service_discovery/test_worker_registry.py
+++ b/tests/service_discovery/test_worker_registry.py
@@ -98,7 +98,7 @@
 def test_worker_with_heartbeats_at_other_nodes_is_not_missing() -> None:
     registry = new_registry()
     registry.on_published(Publication("i-1", WorkerVersion(1), READY), 0)
-    registry.received_elsewhere([ReceivedHeartbeat("i-1", 4)], 3_600 * MS)
+    registry.record_remote_heartbeats([ReceivedHeartbeat("i-1", 4)], 3_600 * MS)
     assert registry.declare_missing(3_600 * MS + HEARTBEAT_TIMEOUT_NS) == []
     assert registry.declare_missing(3_600 * MS + HEARTBEAT_TIMEOUT_NS + 1) == [
         Publication("i-1", WorkerVersion(4, DECLARED_MISSING), MISSING)
@@ -108,7 +108,7 @@
 def test_repeated_announcement_of_a_sequence_number_does_not_extend_the_timeout() -> None:
     registry = new_registry()
     registry.heartbeat("i-1", 4, READY, 0)
-    registry.received_elsewhere([ReceivedHeartbeat("i-1", 4), ReceivedHeartbeat("i-1", 3)], HEARTBEAT_TIMEOUT_NS)
+    registry.record_remote_heartbeats([ReceivedHeartbeat("i-1", 4), ReceivedHeartbeat("i-1", 3)], HEARTBEAT_TIMEOUT_NS)
     assert len(registry.declare_missing(HEARTBEAT_TIMEOUT_NS + 1)) == 1
 
 
@@ -196,7 +196,7 @@
     registry = new_registry()
     registry.heartbeat("i-1", 1, READY, 0)
     registry.heartbeat("i-1", 2, READY, 0)
-    registry.received_elsewhere([ReceivedHeartbeat("i-2", 5)], 0)
+    registry.record_remote_heartbeats([ReceivedHeartbeat("i-2", 5)], 0)
     registry.on_published(Publication("i-3", WorkerVersion(5), READY), 0)
     assert registry.pop_unannounced() == [ReceivedHeartbeat("i-1", 2)]
     assert registry.pop_unannounced() == []
@@ -257,7 +257,7 @@
             deliver(node.heartbeat(worker_id, sequence, reported, now))
         elif step == "announce":
             for other in nodes:
-                other.received_elsewhere(node.pop_unannounced(), now)
+                other.record_remote_heartbeats(node.pop_unannounced(), now)
         elif step == "declare_missing":
             deliver(node.declare_missing(now))
         elif step == "deregister":
