--- a/tests/control_plane/test_caller_watch.py
+++ b/tests/control_plane/test_caller_watch.py
@@ -107,7 +107,7 @@
 def test_disconnect_during_stall_after_reading_request_is_noticed(
     disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(web, "CALLER_END_S", 0.0)  # the wait for a disconnection expires during the stall
+    monkeypatch.setattr(web, "DISCONNECT_WAIT_S", 0.0)  # the wait for a disconnection expires during the stall
 
     async def body(recorder: RecordingServer) -> None:
         client = recorder.connect()
--- a/tests/control_plane/test_operator_api.py
+++ b/tests/control_plane/test_operator_api.py
@@ -320,14 +320,14 @@
 
 
 def test_slow_change_gets_503_and_its_retry_joins_the_pending_change(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(operator_api, "ANSWER_WITHIN_S", 0.0)
+    monkeypatch.setattr(operator_api, "ANSWER_TIMEOUT_S", 0.0)
 
     async def body(caller: Caller) -> None:
         caller.service.gate = asyncio.Event()
         assert (await caller.put(CONFIGURATION)).status == 503
         assert (await caller.put(CONFIGURATION)).status == 503
         assert len(caller.service.submitted) == 1
-        monkeypatch.setattr(operator_api, "ANSWER_WITHIN_S", 5.0)
+        monkeypatch.setattr(operator_api, "ANSWER_TIMEOUT_S", 5.0)
         joined = asyncio.create_task(caller.put(CONFIGURATION))
         await asyncio.sleep(0)
         caller.service.gate.set()
@@ -344,7 +344,7 @@
     Another primary may have reverted the earlier evacuation after its replication, so each evacuation request needs a
     confirmation of its own.
     """
-    monkeypatch.setattr(operator_api, "ANSWER_WITHIN_S", 0.0)
+    monkeypatch.setattr(operator_api, "ANSWER_TIMEOUT_S", 0.0)
 
     async def body(caller: Caller) -> None:
         caller.service.gate = asyncio.Event()
@@ -357,7 +357,7 @@
 
 
 def test_pending_evacuations_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(operator_api, "ANSWER_WITHIN_S", 0.0)
+    monkeypatch.setattr(operator_api, "ANSWER_TIMEOUT_S", 0.0)
     monkeypatch.setattr(operator_api, "MAX_CHANGES_IN_PROGRESS", 8)
 
     async def body(caller: Caller) -> None:
@@ -371,7 +371,7 @@
 
 
 def test_slow_read_is_answered_with_503(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(operator_api, "ANSWER_WITHIN_S", 0.0)
+    monkeypatch.setattr(operator_api, "ANSWER_TIMEOUT_S", 0.0)
 
     async def body(caller: Caller) -> None:
         caller.service.gate = asyncio.Event()
@@ -381,7 +381,7 @@
 
 
 def test_pending_changes_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(operator_api, "ANSWER_WITHIN_S", 0.0)
+    monkeypatch.setattr(operator_api, "ANSWER_TIMEOUT_S", 0.0)
     monkeypatch.setattr(operator_api, "MAX_CHANGES_IN_PROGRESS", 8)
 
     async def body(caller: Caller) -> None:
