--- a/tests/data_plane/test_data_plane_connections.py
+++ b/tests/data_plane/test_data_plane_connections.py
@@ -1,4 +1,4 @@
-"""The connections to one worker: which are used again, which never, and how many there may be."""
+"""The connection pool of one worker: which idle connections are reused, and the limit on open connections."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Server:
-    """Accepts connections and keeps what the test needs to act as the worker."""
+    """A worker's listening socket that keeps the writer of each accepted connection for the test."""
 
     def __init__(self) -> None:
         self.writers: list[asyncio.StreamWriter] = []
@@ -59,7 +59,7 @@
 
 
 def put_at_rest(pool: WorkerPool, connection: WorkerConnection, idle_s: float = 0.0) -> None:
-    """Give a connection back as after a whole exchange, so long ago."""
+    """Put a connection among the idle ones, as if its last complete exchange had ended `idle_s` seconds ago."""
     pool._idle.append(connection)
     connection.idle_since_s = asyncio.get_running_loop().time() - idle_s
 
@@ -96,6 +96,8 @@
 
 
 def test_an_unsafe_request_takes_no_connection_near_the_end_that_its_worker_stated() -> None:
+    """Guard against a worker that closes an idle connection while an unsafe request, which is not retried, is sent."""
+
     async def body(server: Server, pool: WorkerPool) -> None:
         old = await pool.acquire(False)
         old.announced_idle_limit_s = 5.0
@@ -177,6 +179,8 @@
 
 @pytest.mark.parametrize("how", ["aborted here", "reset there"])
 def test_only_an_end_by_the_worker_reads_as_an_end(how: str) -> None:
+    """Guard against a truncated answer that looks complete: an answer without a length ends with its connection."""
+
     async def body(server: Server, pool: WorkerPool) -> None:
         connection, ended = await pool.acquire(False), await pool.acquire(False)
         writer = await server.writer(0)
--- a/tests/data_plane/test_data_plane_ingress.py
+++ b/tests/data_plane/test_data_plane_ingress.py
@@ -1,4 +1,4 @@
-"""Clients that send what they should not: a 4xx or a close, and nothing runs."""
+"""The ingress: invalid requests reach no worker, valid ones reach a worker complete and are answered in order."""
 
 from __future__ import annotations
 
@@ -40,6 +40,7 @@
 
 @pytest.mark.parametrize("what", REFUSED)
 def test_what_cannot_be_a_request_is_refused_and_the_connection_closed(what: str) -> None:
+    """Guard against request smuggling: a body whose end is ambiguous may contain the bytes of a second request."""
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -150,6 +151,8 @@
     ],
 )
 def test_a_node_that_may_be_behind_refuses_in_place_of_denying(denied: bytes, status: int) -> None:
+    """Guard against a 404, 413 or 431 by an outdated configuration, where a newer one may accept the request."""
+
     async def body(data_plane: DataPlaneUnderTest) -> None:
         for data_plane.is_behind, expected in ((False, status), (True, 503)):
             client = await data_plane.client()
--- a/tests/data_plane/test_data_plane_items.py
+++ b/tests/data_plane/test_data_plane_items.py
@@ -1,4 +1,4 @@
-"""What the data plane makes of the item table: configurations, evacuations, workers and the fleet's limits."""
+"""The data plane's view of the item table: configurations, routes, evacuated zones, workers and prompt headers."""
 
 from __future__ import annotations
 
@@ -203,7 +203,7 @@
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         def fail(now: int, events: object) -> list[Action]:
-            raise RuntimeError("a fault")
+            raise RuntimeError("planted fault in the dispatcher")
 
         client = await data_plane.client()
         data_plane.router._driver._dispatcher.handle = fail  # type: ignore[method-assign]
--- a/tests/data_plane/test_data_plane_requests.py
+++ b/tests/data_plane/test_data_plane_requests.py
@@ -1,4 +1,4 @@
-"""Requests with whole answers: what reaches a worker, what reaches the client, and what is tried again."""
+"""Requests without streaming: forwarding to a worker, the answer to the client, and retries at another worker."""
 
 from __future__ import annotations
 
@@ -214,6 +214,8 @@
 
 
 def test_surplus_bytes_after_an_answer_end_the_connection_and_reach_nobody() -> None:
+    """Guard against a duplicate answer that would be taken for the answer to the next request of the connection."""
+
     async def surplus(turn: WorkerTurn) -> None:
         head = f"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Request-Id: {turn.request.identity}\r\n"
         await turn.write(f"{head}X-Response-Seal: a\r\n\r\ndone{head}X-Response-Seal: a\r\n\r\nevil")
@@ -352,6 +354,7 @@
 
 
 def test_once_a_request_is_refused_nothing_of_it_is_written_though_its_connection_comes_free() -> None:
+    """Guard against running a request whose client got 503: its connection becomes free as the request is rejected."""
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -363,7 +366,7 @@
         await client.send(request_bytes("/unsafe/x", "id-1"))
         while not pool._waiting:
             await asyncio.sleep(0)
-        pool._idle.append(held)  # as after a whole exchange, at the very moment of the refusal
+        pool._idle.append(held)  # the connection becomes idle at the same instant as the request is rejected
         held.idle_since_s = asyncio.get_running_loop().time()
         pool._wake_one()
         data_plane.router.end_all()
--- a/tests/data_plane/test_data_plane_shutdown.py
+++ b/tests/data_plane/test_data_plane_shutdown.py
@@ -1,4 +1,4 @@
-"""A planned end: everything read is answered, and nothing is taken that could not be."""
+"""Graceful shutdown: each request that was read is answered, and a request that would be cut is rejected early."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Clock:
-    """A clock that a test moves."""
+    """A manual clock in nanoseconds; the test sets `now`."""
 
     def __init__(self) -> None:
         self.now = SECOND
@@ -120,7 +120,11 @@
 
 
 def test_request_that_one_in_five_of_its_kind_would_outlast_is_rejected_near_the_end() -> None:
-    """Regression: a request that was taken while three in four would still be answered was cut, with 504 (706)."""
+    """Regression: a request was cut at the end of a shutdown and answered with 504 (result code 706).
+
+    The request was accepted while three in four requests of its kind would still have been answered in time, and took
+    longer than those three. A rejection would have sent its client to another node.
+    """
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
--- a/tests/data_plane/test_data_plane_streams.py
+++ b/tests/data_plane/test_data_plane_streams.py
@@ -1,4 +1,4 @@
-"""Streams: events as they come, cuts that never look complete, and streams taken up at another worker."""
+"""Event streams: unbuffered forwarding, the visible end of a broken stream, and resumption at another worker."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
             await turn.event(number)
         if partial:
             await turn.chunk(partial)
-        turn.writer.close()  # without the end of the body
+        turn.writer.close()  # the final chunk, which ends the body, is not sent
 
     return script
 
--- a/tests/data_plane/test_early_answers.py
+++ b/tests/data_plane/test_early_answers.py
@@ -1,4 +1,4 @@
-"""Answers that come before the request was read: by a worker, while the body is on its way, and by this node."""
+"""Answers that a worker or this node sends before it has read the complete body of a request."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 LONG_BODY = 24 << 20
 SHORT_BODY = 60_000
 SMALL_BUFFER = 4096
-# Less than the time after which a connection whose other side doesn't read is given up.
+# Seconds; shorter than the time after which a connection to a peer that does not read is closed.
 IN_TIME_S = 2.0
 
 
 class EarlyWorker(ScriptedWorker):
-    """Answers each request once it has read its head, and reads on only when told."""
+    """A worker that answers a request after reading its head, and reads its body only once `reads_on` is set."""
 
     def __init__(self, name: str, answer: Callable[[str], str]) -> None:
         super().__init__(name)
         self.answer = answer
         self.reads_on = asyncio.Event()
-        self.streams: list[bytearray] = []  # what came on each connection
+        self.streams: list[bytearray] = []  # bytes received on each connection
 
     async def start(self) -> None:
         listener = socket.socket()
@@ -50,7 +50,7 @@
                 await self.reads_on.wait()
                 await _read(reader, int(_header(head, "content-length")), stream)
         except (ConnectionError, asyncio.IncompleteReadError):
-            pass  # the other side is gone
+            pass  # the data plane closed the connection
         finally:
             writer.close()
 
@@ -103,6 +103,7 @@
 def test_an_early_answer_reaches_the_client_and_its_connection_gets_no_other_bytes(
     kind: str, answer: Callable[[str], str], status: int
 ) -> None:
+    """Guard against reuse of the connection: the worker would read the next request as the rest of the first body."""
     worker = EarlyWorker("w1", answer)
     long_body = "x" * LONG_BODY
 
@@ -120,8 +121,8 @@
         read = bytes(worker.streams[0])
         head, _, rest = read.partition(b"\r\n\r\n")
         assert b"r1" in head
-        assert 0 < len(rest) < LONG_BODY, "the body must be too long for the buffers"
-        assert rest == long_body.encode()[: len(rest)], "other bytes came where the rest of the body was due"
+        assert 0 < len(rest) < LONG_BODY, "the body must be longer than the socket buffers"
+        assert rest == long_body.encode()[: len(rest)], "the worker received bytes that are not the rest of the body"
 
     run_early(body, worker)
 
@@ -154,6 +155,7 @@
 def test_a_request_that_is_answered_before_its_body_was_read_does_not_have_its_body_read_as_a_request(
     case: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Guard against request smuggling: after a rejection the unread body may contain the bytes of another request."""
     monkeypatch.setattr(ingress, "FIRST_CONFIGURATION_WAIT_S", 0.0)
     worker = ScriptedWorker("w1")
 
@@ -184,7 +186,7 @@
 
 @pytest.mark.parametrize("is_whole", [False, True])
 def test_a_broken_stream_does_not_look_complete_to_a_client_that_knows_no_chunks(is_whole: bool) -> None:
-    """Its answer ends with the connection, which a cut would end too."""
+    """An HTTP/1.0 answer ends with its connection, so a broken stream must end by a reset and not by a plain close."""
 
     async def stream_one_event(turn: WorkerTurn) -> None:
         await turn.begin_stream()
--- a/tests/data_plane/test_later_sentences.py
+++ b/tests/data_plane/test_later_sentences.py
@@ -1,4 +1,4 @@
-"""What clients, workers and operators may count on at a data-plane node, one group of tests for each promise."""
+"""Guarantees of a data-plane node to clients, workers and operators, one group of tests for each guarantee."""
 
 from __future__ import annotations
 
@@ -39,35 +39,35 @@
 )
 from tests.support.system_processes import host
 
-SOON_S = 2.0  # within which what happens at once has happened, also on a busy machine
-HELD_LONG_MS = 20_000  # the aim of a route whose requests are held for longer than that
+SOON_S = 2.0  # time limit in seconds for an immediate reaction, also on a busy machine
+HELD_LONG_MS = 20_000  # latency target in milliseconds of routes whose requests stay queued during a whole test
 MOST_BEYOND_ROUTE_NS = 250 * MILLISECOND
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Let the event loop go on until the condition holds."""
+    """Run the event loop until the condition is true."""
     while not condition():
         await asyncio.sleep(0)
 
 
 async def until_nothing_is_open(data_plane: DataPlaneUnderTest) -> None:
-    """Wait until no request is owed an answer, as it must soon be once clients left."""
+    """Wait until no request is open, and fail after `SOON_S`: requests of disconnected clients must end at once."""
     async with asyncio.timeout(SOON_S):
         await until(lambda: data_plane.router.open_requests == 0)
 
 
 async def let_events_pass(count: int = 50) -> None:
-    """Give everything that is ready to run the time to do so."""
+    """Yield `count` times to the event loop, so that tasks that are ready run."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
 async def stay(turn: WorkerTurn) -> None:
-    """A worker that works until its caller leaves."""
+    """Send no answer until the data plane closes the connection."""
     await turn.until_closed()
 
 
-# --- before a first configuration -------------------------------------------------------------------
+# --- before the first configuration -----------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -76,7 +76,7 @@
         ("/safe/x", ()),
         ("/no-such-route/x", ()),
         ("/safe/x", ("Authorization: none",)),
-        ("/safe/x", ("X-Large: " + "x" * 20_000,)),  # more than the limit of most configurations
+        ("/safe/x", ("X-Large: " + "x" * 20_000,)),  # above the header limit of most configurations
     ],
 )
 def test_a_node_without_a_configuration_refuses_everything_as_not_run(
@@ -124,11 +124,11 @@
     run(body, worker, routes=[make_route("short", "unsafe", timeout_ms=100)])
 
 
-# --- the time that a worker is handed ---------------------------------------------------------------
+# --- the X-Deadline header sent to workers ----------------------------------------------------------
 
 
 def request_of(route: dict[str, Any], client_wait_ms: int | None, now_ns: int) -> ClientRequest:
-    """A request as the ingress makes it, arrived at this time."""
+    """Return the request that the ingress builds for a call that arrived at `now_ns`."""
     document = {"generation": 1, "routes": [route], "services": [{"name": "svc"}]}
     configuration = parse_configuration(document)
     headers = [] if client_wait_ms is None else [(b"x-deadline", str(client_wait_ms).encode())]
@@ -140,7 +140,7 @@
 
 
 def handed_ms(request: ClientRequest, now_ns: int) -> list[int]:
-    """Every X-Deadline that a worker would be handed now."""
+    """Return the values of all X-Deadline headers that a worker would receive at `now_ns`, in milliseconds."""
     headers = worker_request(request, "w1", now_ns).headers
     return [int(value) for name, value in headers if name == b"x-deadline"]
 
@@ -178,11 +178,11 @@
     run(body, first, second)
 
 
-# --- clients that leave -----------------------------------------------------------------------------
+# --- clients that disconnect ------------------------------------------------------------------------
 
 
 class Work:
-    """A worker that works until the caller of a request leaves; health checks are answered."""
+    """A worker script that answers health checks and leaves other requests unanswered until their connection closes."""
 
     def __init__(self) -> None:
         self.began = asyncio.Event()
@@ -239,7 +239,7 @@
         await turn.answer(body=turn.request.identity)
 
     worker = ScriptedWorker("w1", default=work)
-    later = [f"id-{number}" for number in range(2, 120)]  # more bytes than are read ahead
+    later = [f"id-{number}" for number in range(2, 120)]  # in total more bytes than MAX_READ_AHEAD_BYTES
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         client = await data_plane.client()
@@ -346,7 +346,7 @@
     run(body, first, second, routes=[make_route("safe", "safe", target_ms=HELD_LONG_MS)])
 
 
-# --- the route's time -------------------------------------------------------------------------------
+# --- the timeout of a route -------------------------------------------------------------------------
 
 
 async def begin_and_stay(turn: WorkerTurn) -> None:
@@ -402,11 +402,11 @@
     run(body, ScriptedWorker("w1"), routes=[make_route("short", "unsafe", timeout_ms=100, target_ms=HELD_LONG_MS)])
 
 
-# --- planned work -----------------------------------------------------------------------------------
+# --- planned changes: configuration, drains, evacuations --------------------------------------------
 
 
 async def in_progress(data_plane: DataPlaneUnderTest, *workers: ScriptedWorker) -> tuple[Client, Client]:
-    """A stream in its middle, and a request that a worker has read."""
+    """Return the clients of a stream after its first event and of a plain request that a worker has received."""
     stream, whole = await data_plane.client(), await data_plane.client()
     await stream.send(request_bytes("/stream/x", "id-1"))
     await stream.head()
@@ -416,7 +416,7 @@
 
 
 class Gate:
-    """Workers whose answers end when the test says so."""
+    """A worker script that finishes its answers only once `opened` is set."""
 
     def __init__(self) -> None:
         self.opened = asyncio.Event()
@@ -434,7 +434,7 @@
         await turn.end_stream()
 
     async def finish(self, stream: Client, whole: Client) -> None:
-        """Both requests get their whole answer."""
+        """Let the workers finish, and check that both clients receive complete answers."""
         self.opened.set()
         assert [await stream.chunk() for _ in range(3)] == [event(1).encode(), event(2).encode(), b""]
         answer = await whole.response()
@@ -447,7 +447,7 @@
 
 
 def say_goodbye(data_plane: DataPlaneUnderTest) -> None:
-    """All workers leave without having said that they drain."""
+    """Delete all workers from the item table without a draining state before."""
     for worker in data_plane.workers:
         data_plane.table.merge([Item(ItemKind.WORKER, worker.name, Version(1 << 62), b"", deleted=True)])
 
@@ -497,7 +497,7 @@
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         data_plane.table.merge([Item(ItemKind.WORKER, "w1", Version(1 << 62), b"", deleted=True)])
-        data_plane.heartbeat(first)  # one that was sent before, and comes late
+        data_plane.heartbeat(first)  # a delayed heartbeat, sent before the worker left
         client = await data_plane.client()
         for number in range(4):
             assert (await client.request("/safe/x", f"id-{number}")).status == 200
@@ -506,7 +506,7 @@
     run(body, first, second)
 
 
-# --- the planned end of a node ----------------------------------------------------------------------
+# --- graceful shutdown of a node --------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(("after_s", "status"), [(0.5, 200), (2.9, 200), (3.1, 503)])
@@ -526,7 +526,7 @@
 
 
 def real_settings() -> Any:
-    """Settings of a whole data-plane process on loopback."""
+    """Return the settings of a complete data-plane process on loopback."""
     ip = host(60)
     listen = {"front": Address(ip, 8144), "ready": Address(ip, 8140)}
     bounds = Bounds(grace_s=2.0, ttl_max_s=1.0)
@@ -558,7 +558,7 @@
 
 
 def bring_into_contact(data_plane: DataPlane) -> None:
-    """Grant the node the contact that a parent would tell it of."""
+    """Give the node the relayed grant that a parent would send, so that the node is in contact."""
     distribution = data_plane._cluster._core.distribution
     held = ControlVersions.of(distribution.table)
     assert distribution.relayed_lease.on_grant(RelayedGrant(time.monotonic_ns(), held), held)
@@ -566,12 +566,12 @@
 
 @asynccontextmanager
 async def whole_node(worker: ScriptedWorker) -> AsyncIterator[DataPlane]:
-    """A whole data-plane process but for its signals, ready for clients; it ends with the test or before."""
+    """Run a complete data plane without signal handlers; yield it once it is ready, and stop it at the end."""
     await worker.start()
     data_plane = DataPlane(real_settings())
     assert await data_plane.start() is None
     data_plane._cluster.publish([configuration_item(), worker_item(worker)])
-    assert not data_plane.is_ready()  # not before its first contact
+    assert not data_plane.is_ready()  # a node is unready until its first contact
     bring_into_contact(data_plane)
     await until(lambda: data_plane._cluster.members()[0].ready)
     try:
@@ -588,7 +588,7 @@
             assert await is_ready(data_plane)
             ending = asyncio.ensure_future(data_plane.stop())
             await asyncio.sleep(0)
-            assert not data_plane._cluster.members()[0].ready  # what the directories look at
+            assert not data_plane._cluster.members()[0].ready  # the flag that service discovery reads
             for _ in range(2):
                 assert not await is_ready(data_plane)
             client = await connect(data_plane._settings.listen["front"])
@@ -622,7 +622,7 @@
     asyncio.run(main())
 
 
-# --- what a worker is told of a prompt --------------------------------------------------------------
+# --- prompt headers sent to workers -----------------------------------------------------------------
 
 
 @pytest.mark.parametrize("name", ["safe", "unsafe", "stream"])
--- a/tests/data_plane/test_outcomes.py
+++ b/tests/data_plane/test_outcomes.py
@@ -1,4 +1,4 @@
-"""The outcome records of requests, their counters, the metrics' text and the table made of it."""
+"""Outcome records of requests, their counters, the metrics text, and the table that `system explain` prints."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def times(*, sent: int = 1, written: int = 2, first: int = 100, expected: int = 90, pause: int = 0) -> RequestTimes:
-    """The moments of a request that arrived at 0, in milliseconds."""
+    """Return the times of a request that arrived at 0; all arguments are in milliseconds."""
     return RequestTimes(
         0,
         first_sent_ns=sent * MILLISECOND,
--- a/tests/data_plane/test_placement_notices.py
+++ b/tests/data_plane/test_placement_notices.py
@@ -1,4 +1,4 @@
-"""Notices of prompts between data-plane nodes: who is told, and what comes of it."""
+"""Placement notices between data-plane nodes: their recipients, and their effect on latency expectations."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 PROMPT = PromptEstimate(3000, 0, (PromptPart("5c", 2000), PromptPart("91", 1000)))
 SENDER = Address("ip-near", 7001)
-LATER = 1 << 62  # everything that was told of is read by then
+LATER = 1 << 62  # by this time the prefill of all announced prompts has ended
 HERE = WorkerEntry("w1", "north", "llm")
 THERE = WorkerEntry("w2", "south", "llm")
 
@@ -44,12 +44,12 @@
         self.sent.append((address.host, channel, payload))
 
     def told(self) -> list[str]:
-        """Who was told, in order."""
+        """Return the hosts that datagrams were sent to, in order of sending."""
         return [host for host, _, _ in self.sent]
 
 
 class FixedCluster:
-    """A cluster whose members are given."""
+    """A cluster node with a constant list of members."""
 
     def __init__(self, members: tuple[Member, ...]) -> None:
         self.transport = RecordedTransport()
--- a/tests/data_plane/test_startup.py
+++ b/tests/data_plane/test_startup.py
@@ -1,4 +1,4 @@
-"""A node that has just started serves by no configuration that is older than what it should have been told of."""
+"""The startup check: a new node serves after its first contact or a bounded wait, but not while known to be behind."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass
 class StartingNode:
-    """What the check asks of a node, and its clock."""
+    """The state of a node that `StartupCheck` reads, and its clock in nanoseconds."""
 
     now: int = 5 * SECOND
     has_configuration: bool = False
@@ -28,14 +28,17 @@
 
 
 def test_older_configuration_of_a_control_node_that_is_behind_is_not_served_by() -> None:
-    """Regression: generation 14 came from a control node that was itself behind, generation 30 23 ms after it."""
+    """Regression: a node that had just started served requests with the outdated generation 14 of the configuration.
+
+    Generation 14 came from a control node that was itself behind; generation 30 followed 23 ms later.
+    """
     node = StartingNode(has_configuration=True)
     assert not node.check.is_done()
     node.now += 23 * MILLISECOND
-    node.is_behind = True  # generation 30 is announced
+    node.is_behind = True  # the node learns that generation 30 exists
     node.has_contact = True
     assert not node.check.is_done()
-    node.is_behind = False  # it is held
+    node.is_behind = False  # the node has received generation 30
     assert node.check.is_done()
 
 
@@ -55,7 +58,7 @@
     node.now += 10 * MAX_CONTACT_WAIT_NS
     assert not node.check.is_done()
     node.has_configuration = True
-    assert not node.check.is_done()  # the wait counts from the first configuration
+    assert not node.check.is_done()  # the wait starts with the first configuration
     node.now += MAX_CONTACT_WAIT_NS - 1
     assert not node.check.is_done()
     node.now += 1
--- a/tests/data_plane/test_write_again.py
+++ b/tests/data_plane/test_write_again.py
@@ -1,8 +1,8 @@
-"""Every way in which a send to a worker can end, and whether the request may then be written once more.
+"""Every way in which an attempt at a worker can end, and whether the request may then be retried.
 
-The table of docs/design/hardening/calls.md, row by row and kind of request by kind of request. `AGAIN`: it did not run,
-so it goes to another worker. `MAY`: it may have run: only what may run twice is written once more. `ANSWER`: the
-worker's answer is the client's, and nothing is written again.
+The tests cover each row of the table of docs/design/hardening/calls.md for each kind of request. `AGAIN`: the request
+did not run, so another worker gets it. `MAY`: the request may have run, so only a kind that may run twice is retried.
+`ANSWER`: the client receives the worker's answer, and the request is not retried.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class Verdict(Enum):
-    """What follows from the way in which a send ended."""
+    """What the data plane may do after an attempt has ended; see the module docstring."""
 
     AGAIN = auto()
     MAY = auto()
@@ -48,7 +48,7 @@
 
 
 async def answer_well(turn: WorkerTurn) -> None:
-    """The right answer to a request of any kind: three events, or a body."""
+    """Send a complete answer: the rest of three events for a stream, else a body."""
     if turn.request.target.split("/")[1] not in STREAMS:
         await turn.answer()
         return
@@ -64,7 +64,7 @@
     return "\r\n".join(lines) + "\r\n\r\n"
 
 
-# --- how a send ends ------------------------------------------------------------------------------
+# --- worker scripts: how an attempt ends ----------------------------------------------------------
 
 
 async def silence(turn: WorkerTurn) -> None:
@@ -208,7 +208,7 @@
 ANSWERED: list[Script] = [
     redirect, refused_by_the_worker, rejected_as_malformed, doubled, ended_with_its_connection,
 ]  # fmt: skip
-# On a connection that carried another request before, a rejection without an id may be that one's.
+# On a reused connection a rejection without a request id may belong to an earlier request.
 FOREIGN_WHERE_REUSED = (rejection_without_an_id, misdirected_without_an_id)
 
 TABLE = (
@@ -223,7 +223,7 @@
 
 @dataclass
 class Trial:
-    """Two workers: the first request that matters meets a script, every other is answered well."""
+    """Two workers that run the script for the first attempt of request r1, and answer all other attempts in full."""
 
     script: Script
     reused: bool = False
@@ -241,7 +241,7 @@
             await answer_well(turn)
 
     async def warm_up(self, data_plane: DataPlaneUnderTest, kind: str) -> None:
-        """Leave a connection at rest with each worker."""
+        """Arm the script; with `reused`, first open connections to both workers and leave them idle."""
         clients = [await data_plane.client() for _ in range(4)]
         rounds = range(4) if self.reused else ()
         for number in rounds:
@@ -252,15 +252,17 @@
         self.armed = True
 
     def runs(self) -> int:
-        """How often the request that matters was written to a worker."""
+        """Return the number of times that request r1 reached a worker."""
         return Counter(request.identity for worker in self.workers for request in worker.received)["r1"]
 
 
 def assert_never_twice(kind: str, verdict: Verdict, runs: int, answer: ClientResponse) -> None:
-    """No request that may run once only is written again after it may have run, or is promised not to have run."""
+    """Check that a request that may have run is neither retried nor reported as not run, unless it may run twice."""
     if verdict is Verdict.MAY and kind not in MAY_RUN_TWICE:
-        assert runs == 1, f"{kind} was written {runs} times"
-        assert answer.status not in NOT_EXECUTED_STATUSES, f"{kind} was promised not to have run"
+        assert runs == 1, f"the {kind} request was written {runs} times"
+        assert answer.status not in NOT_EXECUTED_STATUSES, (
+            f"the {kind} request may have run, but status {answer.status} says it did not"
+        )
 
 
 def assert_whole(kind: str, answer: ClientResponse) -> None:
@@ -269,7 +271,7 @@
 
 
 def try_out(script: Script, reused: bool, kind: str) -> tuple[int, ClientResponse]:
-    """How often a request was written whose first send ends by the script, and what its client got."""
+    """Send a request whose first attempt runs the script; return its number of attempts and the client's answer."""
     trial = Trial(script, reused)
     results: list[ClientResponse] = []
 
@@ -277,7 +279,7 @@
         await trial.warm_up(data_plane, kind)
         client = await data_plane.client()
         results.append(await client.request(f"/{kind}/x", "r1"))
-        # Whatever was left behind by the first answer reaches nobody.
+        # Bytes left over from the first answer must not reach a later client.
         for number in range(3):
             later = await (await data_plane.client()).request(f"/{kind}/x", f"later-{number}")
             assert later.status in (200, 503)
@@ -309,7 +311,7 @@
 
 
 def test_a_health_check_of_an_ejected_worker_is_answered_and_is_no_run_of_the_request() -> None:
-    """Regression: where the machine was busy, one came before the end of a trial, which could not count it."""
+    """Regression: on a busy machine a health check arrived before a trial ended, and `Trial` could not count it."""
     trial = Trial(unproven_429)
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -318,7 +320,7 @@
         assert answer.status == 502
         while not any(received.identity == "" for worker in trial.workers for received in worker.received):
             await asyncio.sleep(0.01)
-        for number in range(4):  # enough to reach both workers, the ejected one among them
+        for number in range(4):  # enough requests to reach both workers, including the ejected one
             later = await (await data_plane.client()).request("/stream/x", f"later-{number}")
             assert_whole("stream", later)
 
@@ -363,7 +365,10 @@
 
 
 def test_an_answer_that_is_late_reaches_nobody_else() -> None:
-    """The client is told at its deadline; the answer comes after it, and another request is under way."""
+    """Guard against passing a worker's late answer to another client.
+
+    The first client gets 504 at its deadline, and the worker's answer arrives during a second request.
+    """
     late = asyncio.Event()
 
     async def answer_late(turn: WorkerTurn) -> None:
@@ -384,17 +389,17 @@
     run(body, worker)
 
 
-# --- the second send of one request ---------------------------------------------------------------
+# --- two attempts with one request id -------------------------------------------------------------
 
 
 def test_a_request_with_the_same_id_does_not_take_the_connection_of_the_first() -> None:
-    """There, a surplus answer to the first would pass for the one to the second."""
+    """On the same connection a duplicate of the first answer would be taken for the answer to the second request."""
     written: dict[object, str] = {}
 
     async def answer_with_the_surplus(turn: WorkerTurn) -> None:
         surplus = written.get(turn.writer)
         if surplus is not None:
-            await turn.answer("200 OK", surplus)  # the copy of the first answer, late
+            await turn.answer("200 OK", surplus)  # a late duplicate of the first answer
         written[turn.writer] = f"body-{len(written)}"
         await turn.answer("200 OK", written[turn.writer])
 
@@ -410,7 +415,7 @@
 
 
 class RashDispatcher(Dispatcher):
-    """A planted fault: sends each job to a second worker at once."""
+    """A planted fault: a dispatcher that sends each request to two workers at once."""
 
     def handle(self, now_ns: int, events: Sequence[Event]) -> list[Action]:
         actions = super().handle(now_ns, events)
@@ -443,7 +448,7 @@
         await client.send(request_bytes(f"/{kind}/x"))
         while not any(worker.received for worker in workers):
             await asyncio.sleep(0.001)
-        await asyncio.sleep(0.05)  # the second send, where there is one, is on its way
+        await asyncio.sleep(0.05)  # time for a second attempt to reach its worker
         answers.set()
         assert_whole(kind, await client.response())
         assert 1 <= sum(len(worker.received) for worker in workers) <= most
@@ -451,7 +456,7 @@
     run(body, *workers)
 
 
-# --- planted faults: the table's tests find them --------------------------------------------------
+# --- planted faults that the tests above must detect ----------------------------------------------
 
 
 def test_believing_a_rejection_without_an_id_on_a_reused_connection_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -496,7 +501,7 @@
             assert_whole(kind, answer)
             assert trial.runs() == 2
         else:
-            # After a reset even what came before it may be lost: then nothing of the answer was passed on.
+            # A reset may also discard bytes sent before it; the client then gets 502 and no part of the answer.
             assert trial.runs() == 1
             assert not answer.complete or answer.status == 502
 
