--- a/tests/data_plane/test_data_plane_connections.py
+++ b/tests/data_plane/test_data_plane_connections.py
@@ -48,27 +48,27 @@
         return self.writers[number]
 
 
-def run(body: Callable[[Server, WorkerPool], Awaitable[None]], most: int = 2) -> None:
+def run(body: Callable[[Server, WorkerPool], Awaitable[None]], max_connections: int = 2) -> None:
     async def main() -> None:
         async with asyncio.timeout(10), Server() as server:
-            pool = WorkerPool("w1", server.address, most)
+            pool = WorkerPool("w1", server.address, max_connections)
             await body(server, pool)
             pool.retire()
 
     asyncio.run(main())
 
 
-def put_at_rest(pool: WorkerPool, connection: WorkerConnection, idle_s: float = 0.0) -> None:
+def add_idle(pool: WorkerPool, connection: WorkerConnection, idle_s: float = 0.0) -> None:
     """Put a connection among the idle ones, as if its last complete exchange had ended `idle_s` seconds ago."""
     pool._idle.append(connection)
     connection.idle_since_s = asyncio.get_running_loop().time() - idle_s
 
 
-def test_the_newest_connection_at_rest_is_used_first() -> None:
+def test_newest_idle_connection_is_reused_first() -> None:
     async def body(server: Server, pool: WorkerPool) -> None:
         first, second = await pool.acquire(False), await pool.acquire(False)
-        put_at_rest(pool, first)
-        put_at_rest(pool, second)
+        add_idle(pool, first)
+        add_idle(pool, second)
         assert await pool.acquire(False) is second
         assert await pool.acquire(True) is first
         assert pool.open_count == 2
@@ -76,98 +76,98 @@
     run(body)
 
 
-@pytest.mark.parametrize("what", ["close", "reset", "bytes"])
-def test_a_connection_that_shows_anything_at_rest_is_not_used(what: str) -> None:
+@pytest.mark.parametrize("worker_action", ["close", "reset", "bytes"])
+def test_idle_connection_that_becomes_readable_is_not_reused(worker_action: str) -> None:
     async def body(server: Server, pool: WorkerPool) -> None:
         first = await pool.acquire(False)
         writer = await server.writer(0)
-        if what == "close":
+        if worker_action == "close":
             writer.close()
-        elif what == "reset":
+        elif worker_action == "reset":
             writer.transport.abort()
         else:
             writer.write(b"HTTP/1.1 200 OK\r\n\r\n")
         while not first.stream.is_readable():
             await asyncio.sleep(0)
-        put_at_rest(pool, first)
+        add_idle(pool, first)
         assert await pool.acquire(True) is not first
 
     run(body)
 
 
-def test_an_unsafe_request_takes_no_connection_near_the_end_that_its_worker_stated() -> None:
+def test_unsafe_request_avoids_connection_close_to_its_announced_idle_limit() -> None:
     """Guard against a worker that closes an idle connection while an unsafe request, which is not retried, is sent."""
 
     async def body(server: Server, pool: WorkerPool) -> None:
         old = await pool.acquire(False)
         old.announced_idle_limit_s = 5.0
-        put_at_rest(pool, old, idle_s=4.5)
+        add_idle(pool, old, idle_s=4.5)
         fresh = await pool.acquire(True)
         assert fresh is not old
         assert await pool.acquire(False) is old
-        put_at_rest(pool, old, idle_s=4.9)
+        add_idle(pool, old, idle_s=4.9)
         assert await pool.acquire(False) is not old
 
-    run(body, most=3)
+    run(body, max_connections=3)
 
 
-def test_an_unsafe_request_takes_no_old_connection_without_a_stated_end() -> None:
+def test_unsafe_request_avoids_long_idle_connection_without_announced_limit() -> None:
     async def body(server: Server, pool: WorkerPool) -> None:
         old = await pool.acquire(False)
-        put_at_rest(pool, old, idle_s=DEFAULT_IDLE_LIMIT_UNSAFE_S + 0.1)
+        add_idle(pool, old, idle_s=DEFAULT_IDLE_LIMIT_UNSAFE_S + 0.1)
         assert await pool.acquire(True) is not old
 
     run(body)
 
 
-def test_no_more_connections_than_allowed_and_the_next_in_line_gets_the_first_one_free() -> None:
+def test_full_pool_gives_the_next_free_slot_to_the_first_waiter() -> None:
     async def body(server: Server, pool: WorkerPool) -> None:
-        held = [await pool.acquire(False), await pool.acquire(False)]
+        acquired = [await pool.acquire(False), await pool.acquire(False)]
         waiting = [asyncio.ensure_future(pool.acquire(False)) for _ in range(2)]
         await server.writer(1)
         assert pool.open_count == 2
-        pool.discard(held[0])
+        pool.discard(acquired[0])
         fresh = await waiting[0]
         assert pool.open_count == 2
-        assert fresh not in held
+        assert fresh not in acquired
         assert not waiting[1].done()
         waiting[1].cancel()
 
     run(body)
 
 
-def test_one_that_waits_and_leaves_passes_its_place_on() -> None:
+def test_cancelled_waiter_passes_its_slot_to_the_next_one() -> None:
     async def body(server: Server, pool: WorkerPool) -> None:
-        held = await pool.acquire(False)
+        acquired = await pool.acquire(False)
         first, second = (asyncio.ensure_future(pool.acquire(False)) for _ in range(2))
         await server.writer(0)
-        pool.discard(held)
+        pool.discard(acquired)
         while pool.open_count:
             await asyncio.sleep(0)
         first.cancel()
-        assert await second is not held
+        assert await second is not acquired
 
-    run(body, most=1)
+    run(body, max_connections=1)
 
 
-def test_a_worker_that_is_gone_takes_no_more() -> None:
+def test_retired_pool_fails_waiters_and_closes_released_connections() -> None:
     async def body(server: Server, pool: WorkerPool) -> None:
-        held = await pool.acquire(False)
+        acquired = await pool.acquire(False)
         waiting = asyncio.ensure_future(pool.acquire(False))
         await server.writer(0)
         pool.retire()
         with pytest.raises(WorkerConnectError):
             await waiting
-        pool.release(held)
-        assert held.stream.closed
+        pool.release(acquired)
+        assert acquired.stream.closed
 
-    run(body, most=1)
+    run(body, max_connections=1)
 
 
-def test_a_worker_that_cannot_be_reached_keeps_no_connection_at_rest() -> None:
+def test_failed_connect_discards_idle_connections() -> None:
     async def body(server: Server, pool: WorkerPool) -> None:
         first, second = await pool.acquire(False), await pool.acquire(False)
-        put_at_rest(pool, first)
+        add_idle(pool, first)
         server._server.close()
         pool.discard(second)
         with pytest.raises(WorkerConnectError):
@@ -177,8 +177,8 @@
     run(body)
 
 
-@pytest.mark.parametrize("how", ["aborted here", "reset there"])
-def test_only_an_end_by_the_worker_reads_as_an_end(how: str) -> None:
+@pytest.mark.parametrize("ended_by", ["local abort", "reset by the worker"])
+def test_aborted_connection_raises_read_error_and_closed_one_ends_the_stream(ended_by: str) -> None:
     """Guard against a truncated answer that looks complete: an answer without a length ends with its connection."""
 
     async def body(server: Server, pool: WorkerPool) -> None:
@@ -186,7 +186,7 @@
         writer = await server.writer(0)
         reading = asyncio.ensure_future(connection.stream.read(100))
         await asyncio.sleep(0)
-        if how == "aborted here":
+        if ended_by == "local abort":
             connection.stream.abort()
         else:
             option = struct.pack("ii", 1, 0)
@@ -200,7 +200,7 @@
     run(body)
 
 
-def test_the_share_of_a_workers_connections() -> None:
+def test_connections_per_node_divides_the_limit_of_a_worker() -> None:
     assert connections_per_node(360, 6) == 60
     assert connections_per_node(96, 350) == 3
     assert connections_per_node(2, 350) == 2
--- a/tests/data_plane/test_data_plane_ingress.py
+++ b/tests/data_plane/test_data_plane_ingress.py
@@ -11,16 +11,17 @@
 from tests.support.data_plane_harness import HOST, DataPlaneUnderTest, ScriptedWorker, WorkerTurn, request_bytes
 
 HEAD = f"POST /safe/x HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: r1\r\nX-Deadline: 4000\r\n"
-INNER = f"POST /unsafe/x HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: smuggled\r\nContent-Length: 0\r\n\r\n"
-
-REFUSED = {
-    "two lengths": HEAD + f"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{INNER}",
-    "two lengths, the other order": HEAD + f"Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n{INNER}",
-    "two different lengths": HEAD + f"Content-Length: 0\r\nContent-Length: 5\r\n\r\n{INNER}",
-    "a list of lengths": HEAD + f"Content-Length: 0, 5\r\n\r\n{INNER}",
-    "an encoding in disguise": HEAD + f"Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n{INNER}",
-    "two encodings": HEAD + f"Transfer-Encoding: identity, chunked\r\n\r\n0\r\n\r\n{INNER}",
-    "a space before the colon": HEAD + f"Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n{INNER}",
+SMUGGLED = f"POST /unsafe/x HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: smuggled\r\nContent-Length: 0\r\n\r\n"
+
+INVALID_REQUESTS = {
+    "two lengths": HEAD + f"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{SMUGGLED}",
+    "two lengths, the other order": HEAD
+    + f"Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n{SMUGGLED}",
+    "two different lengths": HEAD + f"Content-Length: 0\r\nContent-Length: 5\r\n\r\n{SMUGGLED}",
+    "a list of lengths": HEAD + f"Content-Length: 0, 5\r\n\r\n{SMUGGLED}",
+    "an encoding in disguise": HEAD + f"Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n{SMUGGLED}",
+    "two encodings": HEAD + f"Transfer-Encoding: identity, chunked\r\n\r\n0\r\n\r\n{SMUGGLED}",
+    "a space before the colon": HEAD + f"Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n{SMUGGLED}",
     "a signed length": HEAD + "Content-Length: +5\r\n\r\nhello",
     "a folded header": HEAD + "X-A: 1\r\n Transfer-Encoding: chunked\r\nContent-Length: 0, 1\r\n\r\n",
     "a bad chunk": HEAD + "Transfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n",
@@ -38,14 +39,14 @@
 }
 
 
-@pytest.mark.parametrize("what", REFUSED)
-def test_what_cannot_be_a_request_is_refused_and_the_connection_closed(what: str) -> None:
+@pytest.mark.parametrize("case", INVALID_REQUESTS)
+def test_invalid_request_is_rejected_and_its_connection_closed(case: str) -> None:
     """Guard against request smuggling: a body whose end is ambiguous may contain the bytes of a second request."""
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         client = await data_plane.client()
-        await client.send(REFUSED[what])
+        await client.send(INVALID_REQUESTS[case])
         answer = await client.response()
         assert 400 <= answer.status < 500 or answer.status == 501
         assert await client.closed()
@@ -54,7 +55,7 @@
     run(body, worker)
 
 
-def test_a_body_in_chunks_reaches_the_worker_whole() -> None:
+def test_chunked_body_reaches_the_worker_complete() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -68,7 +69,7 @@
     run(body, worker)
 
 
-def test_requests_sent_at_once_are_answered_in_their_order() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def echo(turn: WorkerTurn) -> None:
         await turn.answer("200 OK", turn.request.identity)
 
@@ -84,7 +85,7 @@
     run(body, worker)
 
 
-def test_a_client_that_leaves_before_its_body_is_whole_runs_nothing() -> None:
+def test_request_with_incomplete_body_is_not_sent_to_a_worker() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -99,7 +100,7 @@
     run(body, worker)
 
 
-def test_without_a_configuration_requests_are_refused_as_not_run() -> None:
+def test_request_without_configuration_gets_503_with_retry_after() -> None:
     async def body(data_plane: DataPlaneUnderTest) -> None:
         data_plane.view.current = None
         data_plane.view._adopted.clear()
@@ -110,7 +111,7 @@
     run(body, ScriptedWorker("w1"))
 
 
-def test_a_request_that_comes_just_before_the_first_configuration_is_served() -> None:
+def test_request_just_before_the_first_configuration_is_served() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -126,16 +127,16 @@
     run(body, worker)
 
 
-def test_a_route_that_comes_or_goes_counts_for_the_next_request() -> None:
+def test_route_change_applies_to_the_next_request() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         client = await data_plane.client()
-        kept = data_plane.routes
-        data_plane.routes = [connection for connection in kept if connection["name"] != "safe"]
+        all_routes = data_plane.routes
+        data_plane.routes = [route for route in all_routes if route["name"] != "safe"]
         data_plane.configure()
         assert (await client.request("/safe/x", "id-1")).status == 404
-        data_plane.routes = kept
+        data_plane.routes = all_routes
         data_plane.configure()
         assert (await client.request("/safe/x", "id-2")).status == 200
 
@@ -143,20 +144,20 @@
 
 
 @pytest.mark.parametrize(
-    ("denied", "status"),
+    ("rejected_request", "status"),
     [
         (request_bytes("/nowhere/x"), 404),
         (request_bytes("/safe/x", body="x" * 2000), 413),
         (request_bytes("/safe/x", "r1", "", f"X-Long: {'x' * 20_000}"), 431),
     ],
 )
-def test_a_node_that_may_be_behind_refuses_in_place_of_denying(denied: bytes, status: int) -> None:
+def test_node_with_outdated_configuration_answers_503_instead_of_4xx(rejected_request: bytes, status: int) -> None:
     """Guard against a 404, 413 or 431 by an outdated configuration, where a newer one may accept the request."""
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         for data_plane.is_behind, expected in ((False, status), (True, 503)):
             client = await data_plane.client()
-            await client.send(denied)
+            await client.send(rejected_request)
             response = await client.response()
             assert response.status == expected
             assert ("retry-after" in response.headers) == (expected == 503)
@@ -166,7 +167,7 @@
     run(body, ScriptedWorker("w1"))
 
 
-def test_a_request_under_way_keeps_its_route_when_that_is_removed() -> None:
+def test_request_in_flight_keeps_its_removed_route() -> None:
     began, proceed = asyncio.Event(), asyncio.Event()
 
     async def work(turn: WorkerTurn) -> None:
@@ -188,7 +189,7 @@
     run(body, worker)
 
 
-def test_what_does_not_fit_in_memory_is_refused_as_not_run_and_nothing_stays_held() -> None:
+def test_request_above_the_memory_budget_gets_503_and_reserves_nothing() -> None:
     began, proceed = asyncio.Event(), asyncio.Event()
 
     async def work(turn: WorkerTurn) -> None:
@@ -226,7 +227,7 @@
     run(body, worker)
 
 
-def test_a_deadline_may_be_a_fraction() -> None:
+def test_fractional_deadline_is_accepted() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
--- a/tests/data_plane/test_data_plane_items.py
+++ b/tests/data_plane/test_data_plane_items.py
@@ -31,17 +31,17 @@
     return Item(ItemKind.CONFIGURATION, "current", Version(index), json.dumps(document).encode())
 
 
-def test_configurations_are_adopted_in_the_order_of_their_versions_whatever_the_order_they_come_in() -> None:
+def test_older_configuration_that_arrives_late_is_ignored() -> None:
     table = ItemTable()
     view = ConfigurationView(table)
-    seen: list[int] = []
-    view.add_listener(lambda configuration: seen.append(configuration.generation))
+    generations: list[int] = []
+    view.add_listener(lambda configuration: generations.append(configuration.generation))
     for index in (3, 1, 5, 4, 5):
         table.merge([configuration_item(index)])
-    assert seen == [3, 5]
+    assert generations == [3, 5]
 
 
-def test_a_configuration_that_cannot_be_read_leaves_the_one_before_in_force() -> None:
+def test_unreadable_configuration_keeps_the_previous_one_in_force() -> None:
     table = ItemTable()
     view = ConfigurationView(table)
     table.merge([configuration_item(1)])
@@ -50,7 +50,7 @@
     assert view.current.generation == 1
 
 
-def test_what_was_there_before_the_view_is_taken() -> None:
+def test_view_adopts_items_merged_before_its_creation() -> None:
     table = ItemTable()
     table.merge([configuration_item(1), Item(ItemKind.EVACUATIONS, "current", Version(1), b'["z1"]')])
     view = ConfigurationView(table)
@@ -69,7 +69,7 @@
     assert chosen.count("c") == 0
 
 
-def test_a_split_keeps_its_weights_in_small_numbers_and_over_many_processes() -> None:
+def test_split_keeps_its_weights_over_few_requests_and_over_many_processes() -> None:
     split = [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}]
     route = parse_configuration(
         {"generation": 1, "routes": [make_route("r", "safe", split=split)], "services": []}
@@ -77,8 +77,8 @@
     each_process = [[SplitSequence(random.Random(seed)).next_service(route)] for seed in range(2000)]
     assert 0.08 < sum(chosen == ["b"] for chosen in each_process) / 2000 < 0.12
     for seed in range(50):
-        turns = SplitSequence(random.Random(seed))
-        chosen = [turns.next_service(route) for _ in range(60)]
+        sequence = SplitSequence(random.Random(seed))
+        chosen = [sequence.next_service(route) for _ in range(60)]
         assert 5 <= chosen.count("b") <= 7
 
 
@@ -98,17 +98,17 @@
     assert configuration.find_route("b.example", "/x/") is None
 
 
-def test_an_unknown_kind_has_the_least_freedom() -> None:
+def test_unknown_route_kind_is_treated_as_unsafe() -> None:
     configuration = parse_configuration({"generation": 1, "routes": [make_route("r", "new")], "services": []})
     assert configuration.routes[0].kind is RouteKind.UNSAFE
     assert not configuration.routes[0].idempotent
 
 
-def test_classes_say_what_may_be_done_with_a_routes_requests() -> None:
+def test_request_classes_carry_effect_home_regions_and_priority_of_routes() -> None:
     routes = [*ROUTES, make_route("home", "safe", home_regions=["r2"], priority=0)]
     configuration = parse_configuration({"generation": 1, "routes": routes, "services": [{"name": "svc"}]})
-    told = all_classes(configuration)
-    classes, kinds = told.classes, told.kinds
+    event = all_classes(configuration)
+    classes, kinds = event.classes, event.kinds
     effects = {request_class.name: request_class.effect for request_class in classes}
     assert effects == {
         "safe/svc": Effect.SAFE,
@@ -133,26 +133,26 @@
     return ClientRequest(b"r1", b"POST", b"/", list(headers), b"", route, "svc", 0, 1, 1, answer)
 
 
-def test_a_worker_is_told_the_routes_priority() -> None:
+def test_worker_priority_header_follows_the_route_priority() -> None:
     assert worker_priority(request(priority=0)) == b"0"
     assert worker_priority(request(priority=3)) == b"3"
     assert worker_priority(request(priority=100)) == b"9"
 
 
-def test_longer_prompts_are_less_urgent_to_a_worker() -> None:
+def test_longer_prompts_have_lower_worker_priority() -> None:
     tokens = (100, 2000, 5000, 20_000)
-    told = [int(worker_priority(request((b"x-tokens", b"%d,50" % token)))) for token in tokens]
-    assert told == sorted(set(told))
-    assert told[0] == 1
+    priorities = [int(worker_priority(request((b"x-tokens", b"%d,50" % token)))) for token in tokens]
+    assert priorities == sorted(set(priorities))
+    assert priorities[0] == 1
 
 
-def test_the_prompt_is_read_from_the_headers() -> None:
+def test_prompt_estimate_is_read_from_the_headers() -> None:
     parts = (b"x-prefix-hash", b"5c:800, 91:410,e4:250")
-    told = read_prompt(request((b"x-tokens", b"1460,80"), parts))
-    assert told is not None
-    assert (told.tokens_in, told.max_tokens_out) == (1460, 80)
-    assert [(part.name, part.tokens) for part in told.parts] == [("5c", 800), ("91", 410), ("e4", 250)]
-    assert told.model == ""
+    prompt = read_prompt(request((b"x-tokens", b"1460,80"), parts))
+    assert prompt is not None
+    assert (prompt.tokens_in, prompt.max_tokens_out) == (1460, 80)
+    assert [(part.name, part.tokens) for part in prompt.parts] == [("5c", 800), ("91", 410), ("e4", 250)]
+    assert prompt.model == ""
     named = read_prompt(request((b"x-tokens", b"1460,80"), (b"x-model", b"m")))
     assert named is not None
     assert named.model == "m"
@@ -160,7 +160,7 @@
     assert read_prompt(request((b"x-tokens", b"many"))) is None
 
 
-def test_a_cold_worker_is_cold_until_one_time_however_often_it_is_looked_at() -> None:
+def test_cold_until_time_of_a_worker_does_not_move_on_refresh() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -184,7 +184,7 @@
     run(body, worker)
 
 
-def test_a_worker_that_left_is_forgotten_and_its_connections_closed() -> None:
+def test_deleted_worker_is_removed_with_its_connection_pool() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -198,7 +198,7 @@
     run(body, worker)
 
 
-def test_a_fault_in_the_decisions_ends_no_process_and_breaks_no_promise() -> None:
+def test_dispatcher_exception_gets_503_and_the_next_request_is_served() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
--- a/tests/data_plane/test_data_plane_requests.py
+++ b/tests/data_plane/test_data_plane_requests.py
@@ -37,7 +37,7 @@
     asyncio.run(bounded())
 
 
-def test_a_request_reaches_a_worker_unchanged_and_its_answer_the_client() -> None:
+def test_request_and_answer_are_forwarded_unchanged() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -58,7 +58,7 @@
     run(body, worker)
 
 
-def test_one_connection_to_a_worker_carries_request_after_request() -> None:
+def test_connection_to_a_worker_is_reused_for_later_requests() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -70,7 +70,7 @@
     run(body, worker)
 
 
-def test_a_worker_that_is_full_hands_the_request_to_another() -> None:
+def test_request_rejected_by_a_full_worker_is_sent_to_another() -> None:
     async def reject(turn: WorkerTurn) -> None:
         await turn.reject()
 
@@ -85,7 +85,7 @@
     run(body, first, second)
 
 
-def test_rejected_by_as_many_workers_as_allowed_is_refused_with_a_time_to_come_back() -> None:
+def test_request_rejected_by_the_last_allowed_worker_gets_503_with_retry_after() -> None:
     async def reject(turn: WorkerTurn) -> None:
         await turn.reject()
 
@@ -101,11 +101,11 @@
     run(body, first, second)
 
 
-async def _cut_after_reading(turn: WorkerTurn) -> None:
+async def _reset_after_reading(turn: WorkerTurn) -> None:
     turn.reset()
 
 
-async def _cut_in_body(turn: WorkerTurn) -> None:
+async def _reset_in_body(turn: WorkerTurn) -> None:
     await turn.write(f"HTTP/1.1 200 OK\r\nContent-Length: 10\r\nX-Request-Id: {turn.request.identity}\r\n")
     await turn.write("X-Response-Seal: a\r\n\r\nhalf")
     turn.reset()
@@ -126,7 +126,7 @@
     turn.reset()
 
 
-async def _of_another_request(turn: WorkerTurn) -> None:
+async def _answer_to_another_request(turn: WorkerTurn) -> None:
     await turn.answer(identity="another")
 
 
@@ -140,18 +140,18 @@
     turn.reset()
 
 
-async def _unproven_rejection(turn: WorkerTurn) -> None:
+async def _rejection_without_proof(turn: WorkerTurn) -> None:
     await turn.answer("503 Service Unavailable", "", seal=False)
 
 
 BAD_ANSWERS = [
-    _cut_after_reading, _cut_in_body, _end_in_body, _without_seal, _garbage, _of_another_request, _encoded,
-    _without_length_and_reset, _unproven_rejection,
+    _reset_after_reading, _reset_in_body, _end_in_body, _without_seal, _garbage, _answer_to_another_request, _encoded,
+    _without_length_and_reset, _rejection_without_proof,
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize("script", BAD_ANSWERS)
-def test_an_unsafe_request_that_may_have_run_is_never_sent_again_and_gets_no_promise(script: object) -> None:
+def test_unsafe_request_that_may_have_run_is_not_retried_and_gets_502(script: object) -> None:
     first, second = ScriptedWorker("w1", default=script), ScriptedWorker("w2", default=script)  # type: ignore[arg-type]
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize("script", BAD_ANSWERS)
-def test_a_safe_request_is_tried_at_another_worker_and_gets_its_answer_alone(script: object) -> None:
+def test_safe_request_is_retried_after_a_bad_answer(script: object) -> None:
     first, second = ScriptedWorker("w1"), ScriptedWorker("w2")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -183,7 +183,7 @@
     run(body, first, second)
 
 
-def test_a_workers_own_failure_is_passed_on_with_its_seal() -> None:
+def test_sealed_500_answer_of_a_worker_is_forwarded() -> None:
     async def fail(turn: WorkerTurn) -> None:
         await turn.answer("500 Internal Server Error", "broken")
 
@@ -199,7 +199,7 @@
     run(body, first, second)
 
 
-def test_another_worker_at_the_address_does_not_count_as_run() -> None:
+def test_misdirected_answer_is_retried_as_not_run() -> None:
     async def misdirect(turn: WorkerTurn) -> None:
         await turn.answer("421 Misdirected Request", "", "X-Instance: other", seal=False)
 
@@ -213,7 +213,7 @@
     run(body, first, second)
 
 
-def test_surplus_bytes_after_an_answer_end_the_connection_and_reach_nobody() -> None:
+def test_surplus_bytes_after_an_answer_are_dropped_with_their_connection() -> None:
     """Guard against a duplicate answer that would be taken for the answer to the next request of the connection."""
 
     async def surplus(turn: WorkerTurn) -> None:
@@ -233,7 +233,7 @@
     run(body, worker)
 
 
-def test_a_connection_that_its_worker_closes_is_not_used_again() -> None:
+def test_connection_with_close_header_is_not_reused() -> None:
     async def close(turn: WorkerTurn) -> None:
         await turn.answer("200 OK", "done", "Connection: close")
 
@@ -248,7 +248,7 @@
     run(body, worker)
 
 
-def test_a_worker_that_takes_no_connection_leaves_the_request_to_another() -> None:
+def test_request_is_sent_to_another_worker_when_connect_fails() -> None:
     first, second = ScriptedWorker("w1"), ScriptedWorker("w2")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -261,7 +261,7 @@
     run(body, first, second)
 
 
-def test_no_route_no_worker() -> None:
+def test_request_without_matching_route_gets_404() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -273,7 +273,7 @@
     run(body, worker)
 
 
-def test_the_longest_prefix_wins() -> None:
+def test_route_with_the_longest_prefix_is_selected() -> None:
     worker = ScriptedWorker("w1")
     routes = [make_route("short", "safe", prefix="/a/", service="none"), make_route("long", "safe", prefix="/a/b/")]
 
@@ -285,7 +285,7 @@
     run(body, worker, routes=routes)
 
 
-def test_a_draining_or_evacuated_worker_gets_nothing_new() -> None:
+def test_draining_or_evacuated_worker_receives_no_new_requests() -> None:
     first, second = ScriptedWorker("w1"), ScriptedWorker("w2", zone="z2")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -302,7 +302,7 @@
     run(body, first, second)
 
 
-def test_a_client_that_leaves_stops_the_work() -> None:
+def test_client_disconnect_closes_the_worker_connection() -> None:
     stopped = asyncio.Event()
     began = asyncio.Event()
 
@@ -324,7 +324,7 @@
     run(body, worker)
 
 
-def test_no_answer_by_the_deadline_is_told_without_a_promise() -> None:
+def test_request_without_answer_at_its_deadline_gets_504_without_retry_after() -> None:
     async def work(turn: WorkerTurn) -> None:
         await turn.until_closed()
 
@@ -339,7 +339,7 @@
     run(body, worker)
 
 
-def test_a_workers_own_answer_at_the_routes_time_limit_is_waited_for_a_moment() -> None:
+def test_worker_answer_just_after_the_route_timeout_is_forwarded() -> None:
     async def answer_late(turn: WorkerTurn) -> None:
         await asyncio.sleep(int(turn.request.headers["x-deadline"]) / 1000 + 0.02)
         await turn.answer("504 Gateway Timeout", "late")
@@ -353,7 +353,7 @@
     run(body, worker, routes=[make_route("short", "unsafe", timeout_ms=60)])
 
 
-def test_once_a_request_is_refused_nothing_of_it_is_written_though_its_connection_comes_free() -> None:
+def test_rejected_request_is_not_written_when_its_connection_becomes_free() -> None:
     """Guard against running a request whose client got 503: its connection becomes free as the request is rejected."""
     worker = ScriptedWorker("w1")
 
@@ -361,13 +361,13 @@
         pool = data_plane.connections.pool("w1")
         assert pool is not None
         pool.max_connections = 1
-        held = await pool.acquire(unsafe=True)
+        acquired = await pool.acquire(unsafe=True)
         client = await data_plane.client()
         await client.send(request_bytes("/unsafe/x", "id-1"))
         while not pool._waiting:
             await asyncio.sleep(0)
-        pool._idle.append(held)  # the connection becomes idle at the same instant as the request is rejected
-        held.idle_since_s = asyncio.get_running_loop().time()
+        pool._idle.append(acquired)  # the connection becomes idle at the same instant as the request is rejected
+        acquired.idle_since_s = asyncio.get_running_loop().time()
         pool._wake_one()
         data_plane.router.end_all()
         assert (await client.response()).status == 503
--- a/tests/data_plane/test_data_plane_shutdown.py
+++ b/tests/data_plane/test_data_plane_shutdown.py
@@ -20,7 +20,7 @@
     request_bytes,
 )
 
-QUICK = Bounds(grace_s=2.0, ttl_max_s=0.0)
+SHORT_GRACE = Bounds(grace_s=2.0, ttl_max_s=0.0)
 
 
 class Clock:
@@ -33,14 +33,14 @@
         return self.now
 
 
-def test_the_spans_of_the_end_follow_one_another_whatever_the_grace() -> None:
+def test_shutdown_phases_are_in_order_for_any_grace_time() -> None:
     settings = DataPlaneUnderTest([]).settings
     for grace_s in (0.5, 1, 2, 5, 8, 30):
-        terms = shutdown_times(replace(settings, bounds=Bounds(grace_s=grace_s)))
-        assert 0 < terms.window < terms.last_answer < terms.leave < grace_s * SECOND
+        times = shutdown_times(replace(settings, bounds=Bounds(grace_s=grace_s)))
+        assert 0 < times.window < times.last_answer < times.leave < grace_s * SECOND
 
 
-def test_a_stream_under_way_is_finished_and_its_connection_closed() -> None:
+def test_stream_in_flight_completes_during_shutdown() -> None:
     began, proceed = asyncio.Event(), asyncio.Event()
 
     async def script(turn: WorkerTurn) -> None:
@@ -57,36 +57,36 @@
         client = await data_plane.client()
         await client.send(request_bytes("/stream/x"))
         await began.wait()
-        end = asyncio.ensure_future(data_plane.shutdown.run(data_plane.server, data_plane.router))
+        shutdown = asyncio.ensure_future(data_plane.shutdown.run(data_plane.server, data_plane.router))
         await asyncio.sleep(0)
         proceed.set()
         answer = await client.response()
         assert answer.complete
         assert answer.body == (event(1) + event(2)).encode()
         assert await client.closed()
-        await end
+        await shutdown
         assert data_plane.server.connection_count == 0
 
-    run_quick(body, worker)
+    run_with_short_grace(body, worker)
 
 
-def test_requests_after_the_signal_are_served_and_told_to_go_elsewhere_next() -> None:
+def test_requests_during_shutdown_are_served_with_connection_close() -> None:
     async def body(data_plane: DataPlaneUnderTest) -> None:
-        kept = await data_plane.client()
-        assert (await kept.request("/safe/x", "id-1")).headers.get("connection") is None
-        end = asyncio.ensure_future(data_plane.shutdown.run(data_plane.server, data_plane.router))
+        existing = await data_plane.client()
+        assert (await existing.request("/safe/x", "id-1")).headers.get("connection") is None
+        shutdown = asyncio.ensure_future(data_plane.shutdown.run(data_plane.server, data_plane.router))
         await asyncio.sleep(0)
-        for client in (kept, await data_plane.client()):
+        for client in (existing, await data_plane.client()):
             answer = await client.request("/safe/x", "id-2")
             assert answer.status == 200
             assert answer.headers["connection"] == "close"
             assert await client.closed()
-        await end
+        await shutdown
 
-    run_quick(body, ScriptedWorker("w1"))
+    run_with_short_grace(body, ScriptedWorker("w1"))
 
 
-def test_what_has_no_answer_by_the_last_moment_is_answered_for_what_it_is() -> None:
+def test_request_unanswered_at_the_end_of_shutdown_gets_504() -> None:
     async def work(turn: WorkerTurn) -> None:
         await turn.until_closed()
 
@@ -100,10 +100,10 @@
         assert answer.status == 504
         assert await client.closed()
 
-    run_quick(body, worker)
+    run_with_short_grace(body, worker)
 
 
-def test_a_request_that_could_not_be_answered_before_the_end_is_refused_at_once() -> None:
+def test_request_that_cannot_be_answered_before_the_end_is_rejected_at_once() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -119,7 +119,7 @@
     run(body, worker)
 
 
-def test_request_that_one_in_five_of_its_kind_would_outlast_is_rejected_near_the_end() -> None:
+def test_request_is_rejected_near_the_end_when_one_in_five_of_its_kind_is_too_slow() -> None:
     """Regression: a request was cut at the end of a shutdown and answered with 504 (result code 706).
 
     The request was accepted while three in four requests of its kind would still have been answered in time, and took
@@ -142,7 +142,7 @@
     run(body, worker)
 
 
-def test_request_that_its_kind_would_not_outlast_is_served_near_the_end() -> None:
+def test_request_of_a_fast_kind_is_served_near_the_end() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -155,7 +155,7 @@
     run(body, worker)
 
 
-def test_a_stream_that_would_outlast_the_process_is_refused_at_once_and_a_short_one_served() -> None:
+def test_long_stream_is_rejected_during_shutdown_and_short_one_served() -> None:
     async def script(turn: WorkerTurn) -> None:
         await turn.begin_stream()
         await turn.event(1)
@@ -175,14 +175,14 @@
     run(body, worker)
 
 
-def test_readiness_is_told_as_it_is() -> None:
+def test_readiness_endpoint_reports_the_current_state() -> None:
     async def main() -> None:
         ready = False
         server = HttpServer(ReadinessApp(lambda: ready), Address("127.0.0.1", 0))
         assert await server.start() is None
         client = Client(*await asyncio.open_connection("127.0.0.1", server.port))
-        for told, status in ((False, 503), (True, 200), (False, 503)):
-            ready = told
+        for is_ready, status in ((False, 503), (True, 200), (False, 503)):
+            ready = is_ready
             await client.send("GET /v1/readyz HTTP/1.1\r\nHost: a\r\n\r\n")
             assert (await client.response()).status == status
         await client.send("GET /other HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -193,9 +193,9 @@
     asyncio.run(main())
 
 
-def run_quick(body: object, worker: ScriptedWorker) -> None:
-    async def with_quick_end(data_plane: DataPlaneUnderTest) -> None:
+def run_with_short_grace(body: object, worker: ScriptedWorker) -> None:
+    async def checked_body(data_plane: DataPlaneUnderTest) -> None:
         assert callable(body)
         await body(data_plane)
 
-    run(with_quick_end, worker, bounds=QUICK)
+    run(checked_body, worker, bounds=SHORT_GRACE)
--- a/tests/data_plane/test_data_plane_streams.py
+++ b/tests/data_plane/test_data_plane_streams.py
@@ -19,7 +19,7 @@
 )
 
 
-def test_events_are_passed_on_before_the_stream_ends() -> None:
+def test_events_are_forwarded_before_the_stream_ends() -> None:
     proceed = asyncio.Event()
 
     async def script(turn: WorkerTurn) -> None:
@@ -59,7 +59,7 @@
     return script
 
 
-def _whole_from(first: int, last: int) -> object:
+def _complete_stream(first: int, last: int) -> object:
     async def script(turn: WorkerTurn) -> None:
         await turn.begin_stream()
         for number in range(first, last + 1):
@@ -69,7 +69,7 @@
     return script
 
 
-def test_a_broken_stream_that_cannot_be_resumed_does_not_look_complete() -> None:
+def test_broken_stream_without_resume_ends_incomplete() -> None:
     first, second = (ScriptedWorker(name, default=_break_after(1, 2)) for name in ("w1", "w2"))  # type: ignore[arg-type]
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -82,15 +82,15 @@
     run(body, first, second)
 
 
-def test_a_broken_stream_is_resumed_under_the_first_head_without_a_gap_or_a_double() -> None:
-    order: list[WorkerTurn] = []
+def test_broken_stream_is_resumed_without_missing_or_duplicate_events() -> None:
+    turns: list[WorkerTurn] = []
 
     async def script(turn: WorkerTurn) -> None:
-        order.append(turn)
-        if len(order) == 1:
+        turns.append(turn)
+        if len(turns) == 1:
             await _break_after(1, 2, partial="id: 3\ndata: tok")(turn)  # type: ignore[operator]
         else:
-            await _whole_from(2, 4)(turn)  # type: ignore[operator]
+            await _complete_stream(2, 4)(turn)  # type: ignore[operator]
 
     first, second = (ScriptedWorker(name, default=script) for name in ("w1", "w2"))
 
@@ -99,14 +99,14 @@
         answer = await client.request("/resume/x")
         assert answer.complete
         assert answer.body == "".join(map(event, range(1, 5))).encode()
-        assert order[1].request.headers["last-event-id"] == "2"
-        assert order[1].request.identity == order[0].request.identity
+        assert turns[1].request.headers["last-event-id"] == "2"
+        assert turns[1].request.identity == turns[0].request.identity
         assert len(first.received) == len(second.received) == 1
 
     run(body, first, second)
 
 
-def test_a_stream_is_resumed_on_no_more_workers_than_allowed() -> None:
+def test_stream_is_resumed_on_a_bounded_number_of_workers() -> None:
     first, second = (ScriptedWorker(name, default=_break_after(1, 2)) for name in ("w1", "w2"))  # type: ignore[arg-type]
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -119,13 +119,13 @@
     run(body, first, second)
 
 
-def test_a_stream_that_breaks_before_its_first_event_is_tried_anew_where_it_may_run_twice() -> None:
+def test_resumable_stream_that_breaks_before_its_first_event_is_retried() -> None:
     async def script(turn: WorkerTurn) -> None:
         if len(first.received) + len(second.received) == 1:
             await turn.begin_stream()
             turn.reset()
         else:
-            await _whole_from(1, 2)(turn)  # type: ignore[operator]
+            await _complete_stream(1, 2)(turn)  # type: ignore[operator]
 
     first, second = (ScriptedWorker(name, default=script) for name in ("w1", "w2"))
 
@@ -148,13 +148,13 @@
     turn.writer.close()
 
 
-async def _without_length_or_whole_event(turn: WorkerTurn) -> None:
+async def _without_length_or_complete_event(turn: WorkerTurn) -> None:
     await turn.write(_unframed_head(turn) + event(1)[:-1])
     turn.writer.close()
 
 
-@pytest.mark.parametrize("script", [_without_seal, _without_length_or_event, _without_length_or_whole_event])
-def test_a_stream_without_a_seal_or_a_whole_event_reaches_nobody(script: Script) -> None:
+@pytest.mark.parametrize("script", [_without_seal, _without_length_or_event, _without_length_or_complete_event])
+def test_stream_without_seal_or_complete_event_gets_502(script: Script) -> None:
     worker = ScriptedWorker("w1", default=script)
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -172,7 +172,7 @@
 @pytest.mark.parametrize(
     ("tail", "is_reset", "complete"), [("", False, True), ("id: 2", False, False), ("", True, False)]
 )
-def test_a_stream_without_a_length_is_complete_only_where_its_connection_ends_after_an_event(
+def test_stream_without_length_is_complete_only_if_it_closes_after_an_event(
     tail: str, is_reset: bool, complete: bool
 ) -> None:
     sent = asyncio.Event()
@@ -199,7 +199,7 @@
     run(body, worker)
 
 
-def test_a_client_that_leaves_a_stream_stops_it() -> None:
+def test_client_disconnect_stops_a_stream() -> None:
     stopped = asyncio.Event()
 
     async def script(turn: WorkerTurn) -> None:
@@ -221,7 +221,7 @@
     run(body, worker)
 
 
-def test_a_stream_that_is_at_its_time_limit_is_cut_and_not_resumed() -> None:
+def test_stream_at_its_timeout_is_cut_and_not_resumed() -> None:
     async def script(turn: WorkerTurn) -> None:
         await turn.begin_stream()
         await turn.event(1)
@@ -238,7 +238,7 @@
     run(body, worker, routes=[make_route("short", "streaming", resume=True, timeout_ms=1000)])
 
 
-def test_events_are_cut_at_blank_lines_whatever_the_pieces() -> None:
+def test_event_splitter_splits_at_blank_lines_for_any_chunk_size() -> None:
     text = b"id: 1\r\ndata: a\r\n\r\ndata: b\n\nid:3\ndata: c\r\rdata: d"
     for size in range(1, len(text)):
         splitter = EventSplitter()
@@ -247,7 +247,7 @@
         assert [event.event_id for event in events] == [b"1", None, b"3"]
 
 
-def test_ids_rise() -> None:
+def test_event_ids_are_compared_as_numbers_or_text() -> None:
     assert is_after(b"10", b"9")
     assert not is_after(b"9", b"9")
     assert is_after(b"b", b"a")
--- a/tests/data_plane/test_early_answers.py
+++ b/tests/data_plane/test_early_answers.py
@@ -16,17 +16,17 @@
 SHORT_BODY = 60_000
 SMALL_BUFFER = 4096
 # Seconds; shorter than the time after which a connection to a peer that does not read is closed.
-IN_TIME_S = 2.0
+ANSWER_LIMIT_S = 2.0
 
 
 class EarlyWorker(ScriptedWorker):
-    """A worker that answers a request after reading its head, and reads its body only once `reads_on` is set."""
+    """A worker that answers a request after reading its head, and reads its body only once `may_read_body` is set."""
 
     def __init__(self, name: str, answer: Callable[[str], str]) -> None:
         super().__init__(name)
         self.answer = answer
-        self.reads_on = asyncio.Event()
-        self.streams: list[bytearray] = []  # bytes received on each connection
+        self.may_read_body = asyncio.Event()
+        self.received_bytes: list[bytearray] = []  # bytes received on each connection
 
     async def start(self) -> None:
         listener = socket.socket()
@@ -41,13 +41,13 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         stream = bytearray()
-        self.streams.append(stream)
+        self.received_bytes.append(stream)
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 stream += head
                 writer.write(self.answer(_header(head, "x-request-id")).encode())
-                await self.reads_on.wait()
+                await self.may_read_body.wait()
                 await _read(reader, int(_header(head, "content-length")), stream)
         except (ConnectionError, asyncio.IncompleteReadError):
             pass  # the data plane closed the connection
@@ -57,11 +57,11 @@
 
 async def _read(reader: asyncio.StreamReader, size: int, stream: bytearray) -> None:
     while size:
-        piece = await reader.read(size)
-        if not piece:
+        chunk = await reader.read(size)
+        if not chunk:
             raise ConnectionResetError
-        stream += piece
-        size -= len(piece)
+        stream += chunk
+        size -= len(chunk)
 
 
 def _header(head: bytes, name: str) -> str:
@@ -72,7 +72,7 @@
     return "0"
 
 
-def whole(identity: str) -> str:
+def complete_answer(identity: str) -> str:
     return f"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Request-Id: {identity}\r\nX-Response-Seal: a\r\n\r\ndone"
 
 
@@ -98,9 +98,14 @@
 
 @pytest.mark.parametrize(
     ("kind", "answer", "status"),
-    [("unsafe", whole, 200), ("safe", whole, 200), ("unsafe", rejection, 503), ("stream", stream, 200)],
+    [
+        ("unsafe", complete_answer, 200),
+        ("safe", complete_answer, 200),
+        ("unsafe", rejection, 503),
+        ("stream", stream, 200),
+    ],
 )
-def test_an_early_answer_reaches_the_client_and_its_connection_gets_no_other_bytes(
+def test_early_answer_reaches_the_client_and_its_connection_is_not_reused(
     kind: str, answer: Callable[[str], str], status: int
 ) -> None:
     """Guard against reuse of the connection: the worker would read the next request as the rest of the first body."""
@@ -109,17 +114,17 @@
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         client = await data_plane.client()
-        async with asyncio.timeout(IN_TIME_S):
+        async with asyncio.timeout(ANSWER_LIMIT_S):
             first = await client.request(f"/{kind}/x", "r1", long_body)
         assert first.status == status
         await client.request(f"/{kind}/x", "r2", "y" * 10)
-        worker.reads_on.set()
+        worker.may_read_body.set()
         await data_plane.server.close()
         data_plane.connections.close()
         while any(not task.done() for task in tuple(worker._tasks)):
             await asyncio.sleep(0.01)
-        read = bytes(worker.streams[0])
-        head, _, rest = read.partition(b"\r\n\r\n")
+        connection_bytes = bytes(worker.received_bytes[0])
+        head, _, rest = connection_bytes.partition(b"\r\n\r\n")
         assert b"r1" in head
         assert 0 < len(rest) < LONG_BODY, "the body must be longer than the socket buffers"
         assert rest == long_body.encode()[: len(rest)], "the worker received bytes that are not the rest of the body"
@@ -127,22 +132,22 @@
     run_early(body, worker)
 
 
-def test_an_early_answer_to_a_body_that_is_out_keeps_its_connection_in_order() -> None:
-    worker = EarlyWorker("w1", whole)
-    worker.reads_on.set()
+def test_early_answer_to_a_fully_sent_body_keeps_the_connection_usable() -> None:
+    worker = EarlyWorker("w1", complete_answer)
+    worker.may_read_body.set()
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         client = await data_plane.client()
         for number in range(3):
             answer = await client.request("/unsafe/x", f"r{number}", "x" * SHORT_BODY)
             assert (answer.status, answer.body) == (200, b"done")
-        for each in worker.streams:
-            rest = bytes(each)
+        for connection_bytes in worker.received_bytes:
+            rest = bytes(connection_bytes)
             while rest:
                 head, _, rest = rest.partition(b"\r\n\r\n")
                 assert head.startswith(b"POST /unsafe/x HTTP/1.1")
-                due = rest[:SHORT_BODY]
-                assert due == b"x" * len(due)
+                body_bytes = rest[:SHORT_BODY]
+                assert body_bytes == b"x" * len(body_bytes)
                 rest = rest[SHORT_BODY:]
 
     run_early(body, worker)
@@ -152,7 +157,7 @@
 
 
 @pytest.mark.parametrize("case", ["no configuration", "too large", "no id", "two lengths", "memory"])
-def test_a_request_that_is_answered_before_its_body_was_read_does_not_have_its_body_read_as_a_request(
+def test_unread_body_of_a_rejected_request_is_not_parsed_as_a_request(
     case: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guard against request smuggling: after a rejection the unread body may contain the bytes of another request."""
@@ -184,14 +189,14 @@
     run(body, worker)
 
 
-@pytest.mark.parametrize("is_whole", [False, True])
-def test_a_broken_stream_does_not_look_complete_to_a_client_that_knows_no_chunks(is_whole: bool) -> None:
+@pytest.mark.parametrize("is_complete", [False, True])
+def test_broken_stream_does_not_look_complete_to_an_http_1_0_client(is_complete: bool) -> None:
     """An HTTP/1.0 answer ends with its connection, so a broken stream must end by a reset and not by a plain close."""
 
     async def stream_one_event(turn: WorkerTurn) -> None:
         await turn.begin_stream()
         await turn.event(1)
-        if is_whole:
+        if is_complete:
             await turn.end_stream()
         turn.writer.close()
 
@@ -200,7 +205,7 @@
     async def body(data_plane: DataPlaneUnderTest) -> None:
         client = await data_plane.client()
         await client.send(request_bytes("/stream/x").replace("HTTP/1.1", "HTTP/1.0"))
-        if is_whole:
+        if is_complete:
             status, headers = await client.head()
             assert status == 200
             assert "content-length" not in headers
--- a/tests/data_plane/test_later_sentences.py
+++ b/tests/data_plane/test_later_sentences.py
@@ -39,30 +39,30 @@
 )
 from tests.support.system_processes import host
 
-SOON_S = 2.0  # time limit in seconds for an immediate reaction, also on a busy machine
-HELD_LONG_MS = 20_000  # latency target in milliseconds of routes whose requests stay queued during a whole test
-MOST_BEYOND_ROUTE_NS = 250 * MILLISECOND
+REACTION_LIMIT_S = 2.0  # time limit in seconds for an immediate reaction, also on a busy machine
+LONG_TARGET_MS = 20_000  # latency target in milliseconds of routes whose requests stay queued during a whole test
+MAX_BEYOND_TIMEOUT_NS = 250 * MILLISECOND
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Run the event loop until the condition is true."""
     while not condition():
         await asyncio.sleep(0)
 
 
-async def until_nothing_is_open(data_plane: DataPlaneUnderTest) -> None:
-    """Wait until no request is open, and fail after `SOON_S`: requests of disconnected clients must end at once."""
-    async with asyncio.timeout(SOON_S):
-        await until(lambda: data_plane.router.open_requests == 0)
+async def wait_for_no_open_requests(data_plane: DataPlaneUnderTest) -> None:
+    """Wait until no request is open; raise TimeoutError after `REACTION_LIMIT_S`."""
+    async with asyncio.timeout(REACTION_LIMIT_S):
+        await wait_until(lambda: data_plane.router.open_requests == 0)
 
 
-async def let_events_pass(count: int = 50) -> None:
+async def run_ready_tasks(count: int = 50) -> None:
     """Yield `count` times to the event loop, so that tasks that are ready run."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-async def stay(turn: WorkerTurn) -> None:
+async def never_answer(turn: WorkerTurn) -> None:
     """Send no answer until the data plane closes the connection."""
     await turn.until_closed()
 
@@ -79,7 +79,7 @@
         ("/safe/x", ("X-Large: " + "x" * 20_000,)),  # above the header limit of most configurations
     ],
 )
-def test_a_node_without_a_configuration_refuses_everything_as_not_run(
+def test_node_without_configuration_answers_every_request_with_503(
     path: str, headers: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(ingress, "FIRST_CONFIGURATION_WAIT_S", 0.0)
@@ -97,9 +97,9 @@
     run(body, worker)
 
 
-def test_the_parser_takes_any_head_that_a_configuration_may_allow() -> None:
+def test_parser_accepts_the_largest_head_that_a_configuration_may_allow() -> None:
     async def main() -> None:
-        data_plane = DataPlane(real_settings())
+        data_plane = DataPlane(process_settings())
         assert data_plane._servers.front.limits.max_header_bytes >= 65536
         data_plane._view._take_configuration(configuration_item(max_header_bytes=1000))
         assert data_plane._servers.front.limits.max_header_bytes >= 65536
@@ -107,7 +107,7 @@
     asyncio.run(main())
 
 
-def test_a_body_that_does_not_come_in_the_routes_time_is_refused_as_not_run() -> None:
+def test_body_that_exceeds_the_route_timeout_gets_408() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -117,7 +117,7 @@
         await client.send(head)
         answer = await client.response()
         assert answer.status == 408
-        assert asyncio.get_running_loop().time() - began < 0.1 + SOON_S
+        assert asyncio.get_running_loop().time() - began < 0.1 + REACTION_LIMIT_S
         assert await client.closed()
         assert not worker.received
 
@@ -127,7 +127,7 @@
 # --- the X-Deadline header sent to workers ----------------------------------------------------------
 
 
-def request_of(route: dict[str, Any], client_wait_ms: int | None, now_ns: int) -> ClientRequest:
+def make_request(route: dict[str, Any], client_wait_ms: int | None, now_ns: int) -> ClientRequest:
     """Return the request that the ingress builds for a call that arrived at `now_ns`."""
     document = {"generation": 1, "routes": [route], "services": [{"name": "svc"}]}
     configuration = parse_configuration(document)
@@ -135,11 +135,11 @@
     headers += [(b"host", HOST.encode()), (b"x-request-id", b"id-1")]
     scope = {"headers": headers, "method": "POST", "raw_path": b"/a/x", "query_string": b""}
     found = configuration.routes[0]
-    maker = ingress.Ingress(None, None, None, None, random.Random(1))  # type: ignore[arg-type]
-    return maker._make_request(scope, b"", found, ClientAnswer(None, None), now_ns)  # type: ignore[arg-type]
+    handler = ingress.Ingress(None, None, None, None, random.Random(1))  # type: ignore[arg-type]
+    return handler._make_request(scope, b"", found, ClientAnswer(None, None), now_ns)  # type: ignore[arg-type]
 
 
-def handed_ms(request: ClientRequest, now_ns: int) -> list[int]:
+def deadline_headers_ms(request: ClientRequest, now_ns: int) -> list[int]:
     """Return the values of all X-Deadline headers that a worker would receive at `now_ns`, in milliseconds."""
     headers = worker_request(request, "w1", now_ns).headers
     return [int(value) for name, value in headers if name == b"x-deadline"]
@@ -147,33 +147,33 @@
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe", "streaming"])
 @pytest.mark.parametrize("client_wait_ms", [None, 300, 2000, 100_000])
-def test_a_worker_is_handed_what_is_left_and_less_with_every_send(kind: str, client_wait_ms: int | None) -> None:
-    request = request_of(make_route("a", kind, timeout_ms=5000), client_wait_ms, SECOND)
-    longest = min(5000, 5000 if client_wait_ms is None else client_wait_ms)
+def test_worker_deadline_header_is_the_remaining_time(kind: str, client_wait_ms: int | None) -> None:
+    request = make_request(make_route("a", kind, timeout_ms=5000), client_wait_ms, SECOND)
+    limit_ms = min(5000, 5000 if client_wait_ms is None else client_wait_ms)
     for passed_ms in (0, 100, 250, 1900, 4999, 6000):
-        (handed,) = handed_ms(request, SECOND + passed_ms * MILLISECOND)
-        assert max(0, longest - passed_ms - 20) <= handed <= max(0, longest - passed_ms)
+        (deadline_ms,) = deadline_headers_ms(request, SECOND + passed_ms * MILLISECOND)
+        assert max(0, limit_ms - passed_ms - 20) <= deadline_ms <= max(0, limit_ms - passed_ms)
 
 
-def test_a_stream_that_goes_on_elsewhere_is_handed_what_is_left() -> None:
-    handed: list[int] = []
+def test_resumed_stream_gets_the_remaining_time_as_deadline() -> None:
+    deadlines_ms: list[int] = []
 
-    async def break_off_first(turn: WorkerTurn) -> None:
-        handed.append(int(turn.request.headers["x-deadline"]))
+    async def break_first(turn: WorkerTurn) -> None:
+        deadlines_ms.append(int(turn.request.headers["x-deadline"]))
         await turn.begin_stream()
-        await turn.event(len(handed))
-        if len(handed) == 1:
+        await turn.event(len(deadlines_ms))
+        if len(deadlines_ms) == 1:
             turn.reset()
         else:
             await turn.end_stream()
 
-    first, second = (ScriptedWorker(name, default=break_off_first) for name in ("w1", "w2"))
+    first, second = (ScriptedWorker(name, default=break_first) for name in ("w1", "w2"))
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         answer = await (await data_plane.client()).request("/resume/x")
         assert answer.body == (event(1) + event(2)).encode()
-        assert len(handed) == 2
-        assert 4000 >= handed[0] >= handed[1] > 0
+        assert len(deadlines_ms) == 2
+        assert 4000 >= deadlines_ms[0] >= deadlines_ms[1] > 0
 
     run(body, first, second)
 
@@ -181,7 +181,7 @@
 # --- clients that disconnect ------------------------------------------------------------------------
 
 
-class Work:
+class BlockingWorker:
     """A worker script that answers health checks and leaves other requests unanswered until their connection closes."""
 
     def __init__(self) -> None:
@@ -198,39 +198,39 @@
 
 
 @pytest.mark.parametrize("name", ["safe", "unsafe", "stream", "resume"])
-def test_work_stops_as_soon_as_its_client_leaves(name: str) -> None:
-    work = Work()
+def test_work_stops_as_soon_as_its_client_disconnects(name: str) -> None:
+    blocking = BlockingWorker()
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         client = await data_plane.client()
         await client.send(request_bytes(f"/{name}/x"))
-        await work.began.wait()
+        await blocking.began.wait()
         client.close()
-        async with asyncio.timeout(SOON_S):
-            await work.stopped.wait()
+        async with asyncio.timeout(REACTION_LIMIT_S):
+            await blocking.stopped.wait()
         assert data_plane.router.open_requests == 0
 
-    run(body, ScriptedWorker("w1", default=work.serve))
+    run(body, ScriptedWorker("w1", default=blocking.serve))
 
 
-def test_work_stops_when_its_client_leaves_behind_another_request_on_the_connection() -> None:
-    work = Work()
-    worker = ScriptedWorker("w1", default=work.serve)
+def test_work_stops_when_its_client_disconnects_with_a_pipelined_request() -> None:
+    blocking = BlockingWorker()
+    worker = ScriptedWorker("w1", default=blocking.serve)
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         client = await data_plane.client()
         await client.send(request_bytes("/unsafe/x", "id-1") + request_bytes("/unsafe/x", "id-2"))
-        await work.began.wait()
+        await blocking.began.wait()
         client.close()
-        async with asyncio.timeout(SOON_S):
-            await work.stopped.wait()
-        await until(lambda: data_plane.server.connection_count == 0)
+        async with asyncio.timeout(REACTION_LIMIT_S):
+            await blocking.stopped.wait()
+        await wait_until(lambda: data_plane.server.connection_count == 0)
         assert [request.identity for request in worker.received] == ["id-1"]
 
     run(body, worker)
 
 
-def test_requests_that_come_while_another_is_answered_are_served_in_their_order() -> None:
+def test_requests_pipelined_during_an_answer_are_served_in_order() -> None:
     began, proceed = asyncio.Event(), asyncio.Event()
 
     async def work(turn: WorkerTurn) -> None:
@@ -248,7 +248,7 @@
         sending = asyncio.ensure_future(
             client.send("".join(request_bytes("/safe/x", identity, "b" * 900) for identity in later[1:]))
         )
-        await let_events_pass()
+        await run_ready_tasks()
         proceed.set()
         for identity in ["id-1", *later]:
             assert (await client.response()).body == identity.encode()
@@ -258,16 +258,16 @@
 
 
 @pytest.mark.parametrize("name", ["safe", "unsafe", "resume"])
-def test_nothing_of_a_request_whose_client_left_while_it_was_held_reaches_a_worker(name: str) -> None:
+def test_queued_request_of_a_disconnected_client_reaches_no_worker(name: str) -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         data_plane.heartbeat(worker, workers_pb2.WORKER_STATE_DRAINING)
         client = await data_plane.client()
         await client.send(request_bytes(f"/{name}/x", "id-1"))
-        await until(lambda: data_plane.router.open_requests == 1)
+        await wait_until(lambda: data_plane.router.open_requests == 1)
         client.close()
-        await until_nothing_is_open(data_plane)
+        await wait_for_no_open_requests(data_plane)
         data_plane.heartbeat(worker)
         assert (await (await data_plane.client()).request("/safe/x", "id-2")).status == 200
         assert [request.identity for request in worker.received] == ["id-2"]
@@ -275,7 +275,7 @@
     run(
         body,
         worker,
-        routes=[make_route(each, kind, target_ms=HELD_LONG_MS, resume=each == "resume") for each, kind in KINDS],
+        routes=[make_route(each, kind, target_ms=LONG_TARGET_MS, resume=each == "resume") for each, kind in KINDS],
     )
 
 
@@ -283,27 +283,27 @@
 
 
 @pytest.mark.parametrize("name", ["safe", "unsafe", "resume"])
-def test_nothing_of_a_request_whose_client_left_while_it_awaited_a_connection_is_written(name: str) -> None:
+def test_request_waiting_for_a_connection_is_not_written_after_client_disconnect(name: str) -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         pool = data_plane.connections.pool("w1")
         assert pool is not None
         pool.max_connections = 1
-        held = await pool.acquire(unsafe=True)
+        acquired = await pool.acquire(unsafe=True)
         client = await data_plane.client()
         await client.send(request_bytes(f"/{name}/x", "id-1"))
-        await until(lambda: bool(pool._waiting))
+        await wait_until(lambda: bool(pool._waiting))
         client.close()
-        await until_nothing_is_open(data_plane)
-        pool.discard(held)
+        await wait_for_no_open_requests(data_plane)
+        pool.discard(acquired)
         assert (await (await data_plane.client()).request("/safe/x", "id-2")).status == 200
         assert [request.identity for request in worker.received] == ["id-2"]
 
     run(body, worker)
 
 
-def test_a_request_whose_client_left_before_the_first_configuration_is_not_sent() -> None:
+def test_request_of_a_client_disconnected_before_the_first_configuration_is_not_sent() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -311,11 +311,11 @@
         data_plane.view._adopted.clear()
         client = await data_plane.client()
         await client.send(request_bytes("/safe/x", "id-1"))
-        await until(lambda: data_plane.server.busy_count == 1)
+        await wait_until(lambda: data_plane.server.busy_count == 1)
         client.close()
         (connection,) = data_plane.server._connections
-        await until(connection.reader.at_eof)
-        await let_events_pass()
+        await wait_until(connection.reader.at_eof)
+        await run_ready_tasks()
         data_plane.configure()
         assert (await (await data_plane.client()).request("/safe/x", "id-2")).status == 200
         assert [request.identity for request in worker.received] == ["id-2"]
@@ -323,7 +323,7 @@
     run(body, worker)
 
 
-def test_a_request_whose_client_left_between_two_sends_is_not_sent_again() -> None:
+def test_request_is_not_retried_after_client_disconnect() -> None:
     rejected = asyncio.Event()
 
     async def reject(turn: WorkerTurn) -> None:
@@ -338,96 +338,98 @@
         await client.send(request_bytes("/safe/x", "id-1"))
         await rejected.wait()
         client.close()
-        await until_nothing_is_open(data_plane)
+        await wait_for_no_open_requests(data_plane)
         data_plane.heartbeat(second)
-        await let_events_pass()
+        await run_ready_tasks()
         assert not second.received
 
-    run(body, first, second, routes=[make_route("safe", "safe", target_ms=HELD_LONG_MS)])
+    run(body, first, second, routes=[make_route("safe", "safe", target_ms=LONG_TARGET_MS)])
 
 
 # --- the timeout of a route -------------------------------------------------------------------------
 
 
-async def begin_and_stay(turn: WorkerTurn) -> None:
+async def stall_after_first_event(turn: WorkerTurn) -> None:
     await turn.begin_stream()
     await turn.event(1)
     await turn.until_closed()
 
 
-async def begin_head_and_stay(turn: WorkerTurn) -> None:
+async def stall_in_body(turn: WorkerTurn) -> None:
     await turn.write(f"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nX-Request-Id: {turn.request.identity}\r\n\r\nhalf")
     await turn.until_closed()
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe", "streaming"])
 @pytest.mark.parametrize(
-    "script", [stay, begin_and_stay, begin_head_and_stay, None], ids=["silent", "events", "half", "no worker"]
+    "script",
+    [never_answer, stall_after_first_event, stall_in_body, None],
+    ids=["no answer", "one event", "half a body", "no worker"],
 )
-def test_every_request_has_its_end_by_the_routes_time(
+def test_every_request_ends_by_the_route_timeout(
     kind: str, script: Callable[[WorkerTurn], Awaitable[None]] | None
 ) -> None:
-    worker = ScriptedWorker("w1", default=script or stay)
+    worker = ScriptedWorker("w1", default=script or never_answer)
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         if script is None:
             data_plane.heartbeat(worker, workers_pb2.WORKER_STATE_DRAINING)
         client = await data_plane.client()
         await client.send(request_bytes("/short/x"))
-        async with asyncio.timeout(0.1 + SOON_S):
+        async with asyncio.timeout(0.1 + REACTION_LIMIT_S):
             assert (await client.reader.read(65536)).startswith(b"HTTP/1.1 ")
-            if kind == "streaming" and script is begin_and_stay:
+            if kind == "streaming" and script is stall_after_first_event:
                 while await client.reader.read(65536):
                     pass
-        await until(lambda: data_plane.router.open_requests == 0)
+        await wait_until(lambda: data_plane.router.open_requests == 0)
 
-    run(body, worker, routes=[make_route("short", kind, timeout_ms=100, target_ms=HELD_LONG_MS)])
+    run(body, worker, routes=[make_route("short", kind, timeout_ms=100, target_ms=LONG_TARGET_MS)])
 
 
-def test_a_worker_at_work_is_waited_for_no_longer_than_a_moment_beyond_the_routes_time() -> None:
-    assert 0 < WORKER_ANSWER_GRACE_NS <= MOST_BEYOND_ROUTE_NS
+def test_wait_for_a_worker_beyond_the_route_timeout_is_bounded() -> None:
+    assert 0 < WORKER_ANSWER_GRACE_NS <= MAX_BEYOND_TIMEOUT_NS
 
 
-def test_a_request_that_awaits_a_connection_has_its_answer_by_the_routes_time() -> None:
+def test_request_waiting_for_a_connection_gets_503_by_the_route_timeout() -> None:
     async def body(data_plane: DataPlaneUnderTest) -> None:
         pool = data_plane.connections.pool("w1")
         assert pool is not None
         pool.max_connections = 1
-        held = await pool.acquire(unsafe=True)
+        acquired = await pool.acquire(unsafe=True)
         client = await data_plane.client()
-        async with asyncio.timeout(0.1 + SOON_S):
+        async with asyncio.timeout(0.1 + REACTION_LIMIT_S):
             assert (await client.request("/short/x")).status == 503
-        pool.discard(held)
+        pool.discard(acquired)
 
-    run(body, ScriptedWorker("w1"), routes=[make_route("short", "unsafe", timeout_ms=100, target_ms=HELD_LONG_MS)])
+    run(body, ScriptedWorker("w1"), routes=[make_route("short", "unsafe", timeout_ms=100, target_ms=LONG_TARGET_MS)])
 
 
 # --- planned changes: configuration, drains, evacuations --------------------------------------------
 
 
-async def in_progress(data_plane: DataPlaneUnderTest, *workers: ScriptedWorker) -> tuple[Client, Client]:
+async def start_requests(data_plane: DataPlaneUnderTest, *workers: ScriptedWorker) -> tuple[Client, Client]:
     """Return the clients of a stream after its first event and of a plain request that a worker has received."""
     stream, whole = await data_plane.client(), await data_plane.client()
     await stream.send(request_bytes("/stream/x", "id-1"))
     await stream.head()
     await whole.send(request_bytes("/unsafe/x", "id-2"))
-    await until(lambda: sum(len(worker.received) for worker in workers) == 2)
+    await wait_until(lambda: sum(len(worker.received) for worker in workers) == 2)
     return stream, whole
 
 
-class Gate:
+class GatedWorker:
     """A worker script that finishes its answers only once `opened` is set."""
 
     def __init__(self) -> None:
         self.opened = asyncio.Event()
 
     async def serve(self, turn: WorkerTurn) -> None:
-        streams = turn.request.target.startswith("/stream")
-        if streams:
+        is_stream = turn.request.target.startswith("/stream")
+        if is_stream:
             await turn.begin_stream()
             await turn.event(1)
         await self.opened.wait()
-        if not streams:
+        if not is_stream:
             await turn.answer()
             return
         await turn.event(2)
@@ -441,58 +443,58 @@
         assert (answer.status, answer.body) == (200, b"done")
 
 
-def change_everything(data_plane: DataPlaneUnderTest) -> None:
+def replace_configuration(data_plane: DataPlaneUnderTest) -> None:
     data_plane.routes = [make_route("other", "safe", service="other", timeout_ms=50)]
     data_plane.configure(idle_timeout_ms=1, header_timeout_ms=1)
 
 
-def say_goodbye(data_plane: DataPlaneUnderTest) -> None:
+def delete_workers(data_plane: DataPlaneUnderTest) -> None:
     """Delete all workers from the item table without a draining state before."""
     for worker in data_plane.workers:
         data_plane.table.merge([Item(ItemKind.WORKER, worker.name, Version(1 << 62), b"", deleted=True)])
 
 
-def drain_and_say_goodbye(data_plane: DataPlaneUnderTest) -> None:
+def drain_and_delete_workers(data_plane: DataPlaneUnderTest) -> None:
     for worker in data_plane.workers:
         data_plane.heartbeat(worker, workers_pb2.WORKER_STATE_DRAINING)
-    say_goodbye(data_plane)
+    delete_workers(data_plane)
 
 
 def evacuate(data_plane: DataPlaneUnderTest) -> None:
     data_plane.evacuate("z1")
 
 
-@pytest.mark.parametrize("change", [change_everything, say_goodbye, drain_and_say_goodbye, evacuate])
-def test_planned_work_cuts_no_request(change: Callable[[DataPlaneUnderTest], None]) -> None:
-    gate = Gate()
+@pytest.mark.parametrize("change", [replace_configuration, delete_workers, drain_and_delete_workers, evacuate])
+def test_planned_change_completes_requests_in_flight(change: Callable[[DataPlaneUnderTest], None]) -> None:
+    gate = GatedWorker()
     workers = [ScriptedWorker(name, default=gate.serve) for name in ("w1", "w2")]
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
-        stream, whole = await in_progress(data_plane, *workers)
+        stream, whole = await start_requests(data_plane, *workers)
         change(data_plane)
-        await let_events_pass()
+        await run_ready_tasks()
         await gate.finish(stream, whole)
 
     run(body, *workers)
 
 
-def test_a_request_that_is_held_is_served_though_its_route_is_removed_meanwhile() -> None:
+def test_queued_request_is_served_after_removal_of_its_route() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         data_plane.heartbeat(worker, workers_pb2.WORKER_STATE_DRAINING)
         client = await data_plane.client()
         await client.send(request_bytes("/unsafe/x"))
-        await until(lambda: data_plane.router.open_requests == 1)
-        await let_events_pass()
-        change_everything(data_plane)
+        await wait_until(lambda: data_plane.router.open_requests == 1)
+        await run_ready_tasks()
+        replace_configuration(data_plane)
         data_plane.heartbeat(worker)
         assert (await client.response()).status == 200
 
-    run(body, worker, routes=[make_route("unsafe", "unsafe", target_ms=HELD_LONG_MS)])
+    run(body, worker, routes=[make_route("unsafe", "unsafe", target_ms=LONG_TARGET_MS)])
 
 
-def test_a_worker_that_left_without_draining_gets_nothing_new() -> None:
+def test_worker_deleted_without_draining_receives_no_new_requests() -> None:
     first, second = ScriptedWorker("w1"), ScriptedWorker("w2")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -509,8 +511,8 @@
 # --- graceful shutdown of a node --------------------------------------------------------------------
 
 
-@pytest.mark.parametrize(("after_s", "status"), [(0.5, 200), (2.9, 200), (3.1, 503)])
-def test_late_in_a_planned_end_a_stream_is_taken_only_with_time_to_spare(after_s: float, status: int) -> None:
+@pytest.mark.parametrize(("elapsed_s", "status"), [(0.5, 200), (2.9, 200), (3.1, 503)])
+def test_stream_late_in_a_shutdown_is_accepted_only_with_spare_time(elapsed_s: float, status: int) -> None:
     async def script(turn: WorkerTurn) -> None:
         await turn.begin_stream()
         await turn.event(1)
@@ -518,14 +520,14 @@
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         data_plane.shutdown._stream_times.learn("stream", 3 * SECOND)
-        data_plane.shutdown._phases.begin(data_plane.router.now_ns() - round(after_s * SECOND))
+        data_plane.shutdown._phases.begin(data_plane.router.now_ns() - round(elapsed_s * SECOND))
         answer = await (await data_plane.client()).request("/stream/x")
         assert answer.status == status
 
     run(body, ScriptedWorker("w1", default=script), bounds=Bounds(grace_s=8))
 
 
-def real_settings() -> Any:
+def process_settings() -> Any:
     """Return the settings of a complete data-plane process on loopback."""
     ip = host(60)
     listen = {"front": Address(ip, 8144), "ready": Address(ip, 8140)}
@@ -557,23 +559,23 @@
     return Item(ItemKind.WORKER, worker.name, Version(1), record.SerializeToString())
 
 
-def bring_into_contact(data_plane: DataPlane) -> None:
+def grant_contact(data_plane: DataPlane) -> None:
     """Give the node the relayed grant that a parent would send, so that the node is in contact."""
     distribution = data_plane._cluster._core.distribution
-    held = ControlVersions.of(distribution.table)
-    assert distribution.relayed_lease.on_grant(RelayedGrant(time.monotonic_ns(), held), held)
+    versions = ControlVersions.of(distribution.table)
+    assert distribution.relayed_lease.on_grant(RelayedGrant(time.monotonic_ns(), versions), versions)
 
 
 @asynccontextmanager
-async def whole_node(worker: ScriptedWorker) -> AsyncIterator[DataPlane]:
+async def running_node(worker: ScriptedWorker) -> AsyncIterator[DataPlane]:
     """Run a complete data plane without signal handlers; yield it once it is ready, and stop it at the end."""
     await worker.start()
-    data_plane = DataPlane(real_settings())
+    data_plane = DataPlane(process_settings())
     assert await data_plane.start() is None
     data_plane._cluster.publish([configuration_item(), worker_item(worker)])
     assert not data_plane.is_ready()  # a node is unready until its first contact
-    bring_into_contact(data_plane)
-    await until(lambda: data_plane._cluster.members()[0].ready)
+    grant_contact(data_plane)
+    await wait_until(lambda: data_plane._cluster.members()[0].ready)
     try:
         yield data_plane
     finally:
@@ -582,11 +584,11 @@
         await worker.stop()
 
 
-def test_a_node_that_ends_is_unready_at_once_and_serves_on_meanwhile() -> None:
+def test_node_in_shutdown_is_unready_at_once_and_still_serves() -> None:
     async def main() -> None:
-        async with whole_node(ScriptedWorker("w1")) as data_plane:
+        async with running_node(ScriptedWorker("w1")) as data_plane:
             assert await is_ready(data_plane)
-            ending = asyncio.ensure_future(data_plane.stop())
+            shutdown = asyncio.ensure_future(data_plane.stop())
             await asyncio.sleep(0)
             assert not data_plane._cluster.members()[0].ready  # the flag that service discovery reads
             for _ in range(2):
@@ -594,26 +596,26 @@
             client = await connect(data_plane._settings.listen["front"])
             assert (await client.request("/safe/x")).status == 200
             client.close()
-            await ending
+            await shutdown
 
     asyncio.run(main())
 
 
-def test_settings_that_are_read_again_cut_no_request() -> None:
-    gate = Gate()
+def test_reloaded_settings_complete_requests_in_flight() -> None:
+    gate = GatedWorker()
     worker = ScriptedWorker("w1", default=gate.serve)
 
     async def main() -> None:
-        async with whole_node(worker) as data_plane:
+        async with running_node(worker) as data_plane:
             front = data_plane._settings.listen["front"]
             stream, whole = await connect(front), await connect(front)
             await stream.send(request_bytes("/stream/x", "id-1"))
             await stream.head()
             await whole.send(request_bytes("/unsafe/x", "id-2"))
-            await until(lambda: len(worker.received) == 2)
+            await wait_until(lambda: len(worker.received) == 2)
             changed = replace(data_plane._settings, seeds=(Address(host(61), 8146),), bounds=Bounds(grace_s=2.0))
             data_plane.change_settings(changed)
-            await let_events_pass()
+            await run_ready_tasks()
             await gate.finish(stream, whole)
             assert (await whole.request("/safe/x", "id-3")).status == 200
             for client in (stream, whole):
@@ -626,8 +628,8 @@
 
 
 @pytest.mark.parametrize("name", ["safe", "unsafe", "stream"])
-def test_a_worker_reads_what_the_client_said_of_its_prompt(name: str) -> None:
-    said = {"x-model": "M, odd name", "x-tokens": "00120,7", "x-prefix-hash": "1F:100,2a:20"}
+def test_prompt_headers_reach_the_worker_unchanged(name: str) -> None:
+    sent = {"x-model": "M, odd name", "x-tokens": "00120,7", "x-prefix-hash": "1F:100,2a:20"}
 
     async def serve(turn: WorkerTurn) -> None:
         await turn.answer()
@@ -636,8 +638,8 @@
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         client = await data_plane.client()
-        await client.request(f"/{name}/x", "id-1", "", *(f"{name.title()}: {value}" for name, value in said.items()))
+        await client.request(f"/{name}/x", "id-1", "", *(f"{name.title()}: {value}" for name, value in sent.items()))
         received = worker.received[0].headers
-        assert {name: received[name] for name in said} == said
+        assert {name: received[name] for name in sent} == sent
 
     run(body, worker)
--- a/tests/data_plane/test_outcomes.py
+++ b/tests/data_plane/test_outcomes.py
@@ -28,11 +28,11 @@
 from tests.data_plane.test_data_plane_requests import run
 from tests.support.data_plane_harness import DataPlaneUnderTest, ScriptedWorker
 
-AIMS = LatencyTargets(1000 * MILLISECOND, 400 * MILLISECOND)
+TARGETS = LatencyTargets(1000 * MILLISECOND, 400 * MILLISECOND)
 COMPLETE = RequestEnd(ResultCode.OK, is_complete=True)
 
 
-def times(*, sent: int = 1, written: int = 2, first: int = 100, expected: int = 90, pause: int = 0) -> RequestTimes:
+def times(*, sent: int = 1, written: int = 2, first: int = 100, expected: int = 90, gap: int = 0) -> RequestTimes:
     """Return the times of a request that arrived at 0; all arguments are in milliseconds."""
     return RequestTimes(
         0,
@@ -40,23 +40,23 @@
         last_sent_ns=sent * MILLISECOND,
         written_ns=written * MILLISECOND,
         first_answer_ns=first * MILLISECOND,
-        longest_gap_ns=pause * MILLISECOND,
+        longest_gap_ns=gap * MILLISECOND,
         expected_ns=expected * MILLISECOND,
     )
 
 
-def cause(moments: RequestTimes, ending: RequestEnd = COMPLETE, attempts: int = 1) -> Cause:
+def cause_of(request_times: RequestTimes, end: RequestEnd = COMPLETE, attempts: int = 1) -> Cause:
     return outcome_of(
-        moments, AIMS, ending, 5000 * MILLISECOND, request_class="c", ring=Ring.OWN_REGION, attempts=attempts
+        request_times, TARGETS, end, 5000 * MILLISECOND, request_class="c", ring=Ring.OWN_REGION, attempts=attempts
     ).cause
 
 
 @pytest.mark.parametrize(
-    ("moments", "wanted"),
+    ("request_times", "expected_cause"),
     [
         (times(), Cause.WITHIN_TARGET),
-        (times(pause=401), Cause.LONG_GAP),
-        (times(first=1001, pause=500, expected=900), Cause.NO_WORKER_IN_TIME),
+        (times(gap=401), Cause.LONG_GAP),
+        (times(first=1001, gap=500, expected=900), Cause.NO_WORKER_IN_TIME),
         (times(sent=300, written=301, first=1200), Cause.QUEUED),
         (times(written=300, first=1200), Cause.SLOW_CONNECTION),
         (times(first=1200, expected=300), Cause.SLOWER_THAN_EXPECTED),
@@ -64,18 +64,18 @@
         (times(first=1200, expected=1100), Cause.NO_WORKER_IN_TIME),
     ],
 )
-def test_the_cause_is_the_first_step_that_took_too_long(moments: RequestTimes, wanted: Cause) -> None:
-    assert cause(moments) is wanted
+def test_cause_is_the_first_step_that_took_too_long(request_times: RequestTimes, expected_cause: Cause) -> None:
+    assert cause_of(request_times) is expected_cause
 
 
-def test_a_second_attempt_is_a_cause_of_its_own() -> None:
-    moments = times(first=1300)
-    moments.last_sent_ns = 400 * MILLISECOND
-    assert cause(moments, attempts=2) is Cause.RETRIED
+def test_late_second_attempt_has_cause_retried() -> None:
+    request_times = times(first=1300)
+    request_times.last_sent_ns = 400 * MILLISECOND
+    assert cause_of(request_times, attempts=2) is Cause.RETRIED
 
 
 @pytest.mark.parametrize(
-    ("ending", "wanted"),
+    ("end", "expected_cause"),
     [
         (RequestEnd(ResultCode.REQUEST_REFUSED, is_complete=False), Cause.REJECTED),
         (RequestEnd(ResultCode.REQUEST_TIMED_OUT, is_complete=False), Cause.DEADLINE_PASSED),
@@ -84,18 +84,18 @@
         (RequestEnd(ResultCode.OK, is_complete=False, has_client_disconnected=True), Cause.CLIENT_DISCONNECTED),
     ],
 )
-def test_a_request_without_a_whole_answer_says_why(ending: RequestEnd, wanted: Cause) -> None:
-    assert cause(times(), ending) is wanted
+def test_request_without_complete_answer_has_the_matching_cause(end: RequestEnd, expected_cause: Cause) -> None:
+    assert cause_of(times(), end) is expected_cause
 
 
-def test_pauses_are_measured_between_what_goes_to_the_client() -> None:
-    moments = RequestTimes(0)
+def test_longest_gap_is_measured_between_events_to_the_client() -> None:
+    request_times = RequestTimes(0)
     for now in (5, 7, 20, 21):
-        moments.record_event(now)
-    assert (moments.first_answer_ns, moments.longest_gap_ns) == (5, 13)
+        request_times.record_event(now)
+    assert (request_times.first_answer_ns, request_times.longest_gap_ns) == (5, 13)
 
 
-def test_the_number_of_labels_is_bounded() -> None:
+def test_number_of_label_sets_is_bounded() -> None:
     counters = OutcomeCounters()
     for number in range(MAX_LABEL_SETS + 50):
         counters.count(RequestOutcome(f"class-{number}", Ring.NONE, Cause.REJECTED, ResultCode.OK, 0, 0, 0, 0, 0))
@@ -106,23 +106,23 @@
 
 def sample_text() -> str:
     counters = OutcomeCounters()
-    served = outcome_of(times(), AIMS, COMPLETE, 0, request_class='a"b', ring=Ring.OWN_REGION, attempts=1)
+    served = outcome_of(times(), TARGETS, COMPLETE, 0, request_class='a"b', ring=Ring.OWN_REGION, attempts=1)
     late = outcome_of(
-        times(first=1200, expected=300), AIMS, COMPLETE, 0, request_class="c", ring=Ring.OTHER_REGION, attempts=1
+        times(first=1200, expected=300), TARGETS, COMPLETE, 0, request_class="c", ring=Ring.OTHER_REGION, attempts=1
     )
     for each in (served, served, late):
         counters.count(each)
     return "\n".join([*outcome_lines(counters), *gauge_lines({"open_requests": 3})]) + "\n"
 
 
-def test_the_metrics_are_in_prometheus_format() -> None:
+def test_metrics_are_in_prometheus_format() -> None:
     lines = sample_text().splitlines()
     assert "# TYPE canvasbeam_request_total counter" in lines
     assert 'canvasbeam_request_total{class="a\\"b",ring="own_region",cause="in_time",code="ok"} 2' in lines
     assert "canvasbeam_open_requests 3" in lines
 
 
-def test_the_table_sums_over_sources_and_names_the_causes(tmp_path: Path) -> None:
+def test_explain_table_sums_over_sources_and_names_the_causes(tmp_path: Path) -> None:
     for name in ("one", "two"):
         (tmp_path / name).write_text(sample_text())
     sources = [str(tmp_path / "one"), str(tmp_path / "two")]
@@ -136,13 +136,13 @@
     assert 'a\\"b' in by_class.output
 
 
-def test_a_process_that_is_not_there_is_named() -> None:
+def test_explain_names_an_unreachable_process() -> None:
     result = CliRunner().invoke(system, ["explain", "127.0.0.1:1"])
     assert result.exit_code == ExitCode.FAILED
     assert "127.0.0.1:1" in result.output
 
 
-def test_every_path_of_the_metrics_address_is_answered() -> None:
+def test_metrics_app_answers_with_the_metric_lines() -> None:
     sent: list[dict[str, object]] = []
 
     async def send(message: dict[str, object]) -> None:
@@ -158,11 +158,11 @@
 
 
 @pytest.mark.parametrize(("arguments", "port"), [([], None), (["--metrics", "9464/metrics"], 9464)])
-def test_the_port_of_the_metrics_is_an_option(arguments: list[str], port: int | None) -> None:
+def test_metrics_port_is_read_from_the_arguments(arguments: list[str], port: int | None) -> None:
     assert metrics_port(arguments) == port
 
 
-def test_each_request_of_a_client_is_counted_once() -> None:
+def test_each_request_is_counted_once() -> None:
     async def body(data_plane: DataPlaneUnderTest) -> None:
         client = await data_plane.client()
         for number in range(3):
--- a/tests/data_plane/test_startup.py
+++ b/tests/data_plane/test_startup.py
@@ -27,7 +27,7 @@
         )
 
 
-def test_older_configuration_of_a_control_node_that_is_behind_is_not_served_by() -> None:
+def test_node_does_not_serve_with_an_outdated_configuration() -> None:
     """Regression: a node that had just started served requests with the outdated generation 14 of the configuration.
 
     Generation 14 came from a control node that was itself behind; generation 30 followed 23 ms later.
@@ -42,7 +42,7 @@
     assert node.check.is_done()
 
 
-def test_node_in_contact_with_nothing_newer_known_serves_at_once() -> None:
+def test_node_in_contact_with_current_configuration_serves_at_once() -> None:
     assert StartingNode(has_configuration=True, has_contact=True).check.is_done()
 
 
@@ -53,7 +53,7 @@
     assert not node.check.is_done()
 
 
-def test_node_without_contact_serves_after_a_while_by_what_it_holds() -> None:
+def test_node_without_contact_serves_after_the_contact_wait() -> None:
     node = StartingNode(now=0, has_configuration=False)
     node.now += 10 * MAX_CONTACT_WAIT_NS
     assert not node.check.is_done()
@@ -65,7 +65,7 @@
     assert node.check.is_done()
 
 
-def test_node_without_contact_that_knows_of_something_newer_does_not_serve() -> None:
+def test_node_without_contact_that_is_behind_does_not_serve() -> None:
     node = StartingNode(has_configuration=True, is_behind=True)
     assert not node.check.is_done()
     node.now += 2 * MAX_CONTACT_WAIT_NS
@@ -74,7 +74,7 @@
     assert node.check.is_done()
 
 
-def test_node_that_has_served_does_not_become_unready_by_a_lost_contact_or_a_newer_configuration() -> None:
+def test_serving_node_stays_ready_after_lost_contact_or_newer_configuration() -> None:
     node = StartingNode(has_configuration=True, has_contact=True)
     assert node.check.is_done()
     node.has_contact = False
--- a/tests/data_plane/test_write_again.py
+++ b/tests/data_plane/test_write_again.py
@@ -1,8 +1,8 @@
 """Every way in which an attempt at a worker can end, and whether the request may then be retried.
 
-The tests cover each row of the table of docs/design/hardening/calls.md for each kind of request. `AGAIN`: the request
-did not run, so another worker gets it. `MAY`: the request may have run, so only a kind that may run twice is retried.
-`ANSWER`: the client receives the worker's answer, and the request is not retried.
+The tests cover each row of the table of docs/design/hardening/calls.md for each kind of request. `RETRY`: the request
+did not run, so another worker gets it. `RETRY_IF_REPEATABLE`: the request may have run, so only a kind that may run
+twice is retried. `NO_RETRY`: the client receives the worker's answer, and the request is not retried.
 """
 
 from __future__ import annotations
@@ -34,20 +34,20 @@
 )
 
 KINDS = ("safe", "unsafe", "stream", "resume")
-MAY_RUN_TWICE = ("safe", "resume")
+REPEATABLE_KINDS = ("safe", "resume")
 STREAMS = ("stream", "resume")
 NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 
 
-class Verdict(Enum):
+class RetryRule(Enum):
     """What the data plane may do after an attempt has ended; see the module docstring."""
 
-    AGAIN = auto()
-    MAY = auto()
-    ANSWER = auto()
+    RETRY = auto()
+    RETRY_IF_REPEATABLE = auto()
+    NO_RETRY = auto()
 
 
-async def answer_well(turn: WorkerTurn) -> None:
+async def answer_completely(turn: WorkerTurn) -> None:
     """Send a complete answer: the rest of three events for a stream, else a body."""
     if turn.request.target.split("/")[1] not in STREAMS:
         await turn.answer()
@@ -112,21 +112,21 @@
     turn.reset()
 
 
-async def other_bytes(turn: WorkerTurn) -> None:
+async def non_http_bytes(turn: WorkerTurn) -> None:
     await turn.write("\x00\x01 not an answer\r\n\r\n")
     turn.writer.close()
 
 
-async def change_of_protocol(turn: WorkerTurn) -> None:
+async def protocol_switch(turn: WorkerTurn) -> None:
     await turn.write(head(turn, status="101 Switching Protocols"))
     turn.writer.close()
 
 
-async def for_another(turn: WorkerTurn) -> None:
+async def answer_to_another_request(turn: WorkerTurn) -> None:
     await turn.answer(identity="another")
 
 
-async def rejection_for_another(turn: WorkerTurn) -> None:
+async def rejection_of_another_request(turn: WorkerTurn) -> None:
     await turn.answer("503 Service Unavailable", "", "X-Not-Executed: 1", seal=False, identity="another")
 
 
@@ -170,7 +170,7 @@
     await turn.write("HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n")
 
 
-async def doubled_rejection(turn: WorkerTurn) -> None:
+async def duplicate_rejection(turn: WorkerTurn) -> None:
     await turn.reject()
     await turn.reject()
 
@@ -187,37 +187,38 @@
     await turn.answer("400 Bad Request", "", "X-Not-Executed: 1", seal=False)
 
 
-async def doubled(turn: WorkerTurn) -> None:
+async def duplicate_answer(turn: WorkerTurn) -> None:
     await turn.answer()
     await turn.answer()
 
 
-async def ended_with_its_connection(turn: WorkerTurn) -> None:
+async def answer_ended_by_close(turn: WorkerTurn) -> None:
     await turn.write(head(turn) + "done")
     turn.writer.close()
 
 
 MAY_HAVE_RUN: list[Script] = [
     reset_before_an_answer, end_before_an_answer, reset_in_the_head, end_in_the_head, reset_in_the_body,
-    end_in_the_body, end_in_the_chunks, reset_without_a_length, other_bytes, change_of_protocol, for_another,
-    rejection_for_another, success_without_an_id, unproven_503, unproven_429, unproven_408, without_a_seal,
+    end_in_the_body, end_in_the_chunks, reset_without_a_length, non_http_bytes, protocol_switch,
+    answer_to_another_request, rejection_of_another_request, success_without_an_id, unproven_503, unproven_429,
+    unproven_408, without_a_seal,
 ]  # fmt: skip
 NEVER_RAN: list[Script] = [
-    full, rate_limited, misdirected, rejection_without_an_id, misdirected_without_an_id, doubled_rejection,
+    full, rate_limited, misdirected, rejection_without_an_id, misdirected_without_an_id, duplicate_rejection,
 ]  # fmt: skip
 ANSWERED: list[Script] = [
-    redirect, refused_by_the_worker, rejected_as_malformed, doubled, ended_with_its_connection,
+    redirect, refused_by_the_worker, rejected_as_malformed, duplicate_answer, answer_ended_by_close,
 ]  # fmt: skip
 # On a reused connection a rejection without a request id may belong to an earlier request.
-FOREIGN_WHERE_REUSED = (rejection_without_an_id, misdirected_without_an_id)
+AMBIGUOUS_ON_REUSE = (rejection_without_an_id, misdirected_without_an_id)
 
 TABLE = (
-    [(script, False, Verdict.MAY) for script in MAY_HAVE_RUN]
-    + [(script, False, Verdict.AGAIN) for script in NEVER_RAN]
-    + [(script, False, Verdict.ANSWER) for script in ANSWERED]
-    + [(script, True, Verdict.MAY) for script in (*MAY_HAVE_RUN, *FOREIGN_WHERE_REUSED)]
-    + [(script, True, Verdict.AGAIN) for script in NEVER_RAN if script not in FOREIGN_WHERE_REUSED]
-    + [(script, True, Verdict.ANSWER) for script in ANSWERED]
+    [(script, False, RetryRule.RETRY_IF_REPEATABLE) for script in MAY_HAVE_RUN]
+    + [(script, False, RetryRule.RETRY) for script in NEVER_RAN]
+    + [(script, False, RetryRule.NO_RETRY) for script in ANSWERED]
+    + [(script, True, RetryRule.RETRY_IF_REPEATABLE) for script in (*MAY_HAVE_RUN, *AMBIGUOUS_ON_REUSE)]
+    + [(script, True, RetryRule.RETRY) for script in NEVER_RAN if script not in AMBIGUOUS_ON_REUSE]
+    + [(script, True, RetryRule.NO_RETRY) for script in ANSWERED]
 )
 
 
@@ -238,15 +239,15 @@
             self.armed = False
             await self.script(turn)
         else:
-            await answer_well(turn)
+            await answer_completely(turn)
 
     async def warm_up(self, data_plane: DataPlaneUnderTest, kind: str) -> None:
         """Arm the script; with `reused`, first open connections to both workers and leave them idle."""
         clients = [await data_plane.client() for _ in range(4)]
         rounds = range(4) if self.reused else ()
         for number in rounds:
-            asked = (client.request(f"/{kind}/x", f"warm-{number}-{place}") for place, client in enumerate(clients))
-            await asyncio.gather(*asked)
+            requests = (client.request(f"/{kind}/x", f"warm-{number}-{index}") for index, client in enumerate(clients))
+            await asyncio.gather(*requests)
         if self.reused:
             assert all(worker.connections for worker in self.workers)
         self.armed = True
@@ -256,21 +257,21 @@
         return Counter(request.identity for worker in self.workers for request in worker.received)["r1"]
 
 
-def assert_never_twice(kind: str, verdict: Verdict, runs: int, answer: ClientResponse) -> None:
+def assert_no_unsafe_retry(kind: str, rule: RetryRule, runs: int, answer: ClientResponse) -> None:
     """Check that a request that may have run is neither retried nor reported as not run, unless it may run twice."""
-    if verdict is Verdict.MAY and kind not in MAY_RUN_TWICE:
+    if rule is RetryRule.RETRY_IF_REPEATABLE and kind not in REPEATABLE_KINDS:
         assert runs == 1, f"the {kind} request was written {runs} times"
         assert answer.status not in NOT_EXECUTED_STATUSES, (
             f"the {kind} request may have run, but status {answer.status} says it did not"
         )
 
 
-def assert_whole(kind: str, answer: ClientResponse) -> None:
+def assert_complete(kind: str, answer: ClientResponse) -> None:
     body = "".join(map(event, (1, 2, 3))) if kind in STREAMS else "done"
     assert (answer.status, answer.body, answer.complete) == (200, body.encode(), True)
 
 
-def try_out(script: Script, reused: bool, kind: str) -> tuple[int, ClientResponse]:
+def run_trial(script: Script, reused: bool, kind: str) -> tuple[int, ClientResponse]:
     """Send a request whose first attempt runs the script; return its number of attempts and the client's answer."""
     trial = Trial(script, reused)
     results: list[ClientResponse] = []
@@ -284,33 +285,31 @@
             later = await (await data_plane.client()).request(f"/{kind}/x", f"later-{number}")
             assert later.status in (200, 503)
             if later.status == 200:
-                assert_whole(kind, later)
+                assert_complete(kind, later)
 
     run(body, *trial.workers)
     return trial.runs(), results[0]
 
 
 @pytest.mark.parametrize("kind", KINDS)
-@pytest.mark.parametrize(("script", "reused", "verdict"), TABLE)
-def test_a_request_is_written_again_only_as_the_table_says(
-    script: Script, reused: bool, verdict: Verdict, kind: str
-) -> None:
-    runs, answer = try_out(script, reused, kind)
-    assert_never_twice(kind, verdict, runs, answer)
-    if verdict is Verdict.ANSWER:
+@pytest.mark.parametrize(("script", "reused", "rule"), TABLE)
+def test_request_is_retried_only_as_the_table_allows(script: Script, reused: bool, rule: RetryRule, kind: str) -> None:
+    runs, answer = run_trial(script, reused, kind)
+    assert_no_unsafe_retry(kind, rule, runs, answer)
+    if rule is RetryRule.NO_RETRY:
         assert runs == 1
-    elif verdict is Verdict.AGAIN:
+    elif rule is RetryRule.RETRY:
         assert runs == 2
-        assert_whole(kind, answer)
-    elif kind in MAY_RUN_TWICE:
+        assert_complete(kind, answer)
+    elif kind in REPEATABLE_KINDS:
         assert runs <= 2
         if runs == 2:
-            assert_whole(kind, answer)
+            assert_complete(kind, answer)
     else:
         assert answer.status == 502
 
 
-def test_a_health_check_of_an_ejected_worker_is_answered_and_is_no_run_of_the_request() -> None:
+def test_health_check_of_an_ejected_worker_does_not_count_as_a_run() -> None:
     """Regression: on a busy machine a health check arrived before a trial ended, and `Trial` could not count it."""
     trial = Trial(unproven_429)
 
@@ -322,30 +321,30 @@
             await asyncio.sleep(0.01)
         for number in range(4):  # enough requests to reach both workers, including the ejected one
             later = await (await data_plane.client()).request("/stream/x", f"later-{number}")
-            assert_whole("stream", later)
+            assert_complete("stream", later)
 
     run(body, *trial.workers)
     assert trial.runs() == 1
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_no_answer_at_all_is_told_without_a_promise(kind: str) -> None:
+def test_request_to_a_silent_worker_is_not_reported_as_not_run(kind: str) -> None:
     trial = Trial(silence)
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         trial.armed = True
         answer = await (await data_plane.client()).request(f"/{kind}/x", "r1", "", "X-Deadline: 400")
-        assert_never_twice(kind, Verdict.MAY, trial.runs(), answer)
-        assert answer.status in ((200, 502, 504) if kind in MAY_RUN_TWICE else (502, 504))
+        assert_no_unsafe_retry(kind, RetryRule.RETRY_IF_REPEATABLE, trial.runs(), answer)
+        assert answer.status in ((200, 502, 504) if kind in REPEATABLE_KINDS else (502, 504))
 
     run(body, *trial.workers)
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_connection_that_breaks_before_a_byte_is_written_leaves_the_request_to_the_next(
+def test_request_is_retried_when_its_connection_breaks_before_the_first_byte(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    trial = Trial(answer_well)
+    trial = Trial(answer_completely)
     broken: list[WorkerConnection] = []
     exchange = Exchange._exchange
 
@@ -358,13 +357,13 @@
     monkeypatch.setattr(Exchange, "_exchange", break_the_first)
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
-        assert_whole(kind, await (await data_plane.client()).request(f"/{kind}/x", "r1"))
+        assert_complete(kind, await (await data_plane.client()).request(f"/{kind}/x", "r1"))
         assert trial.runs() == 1
 
     run(body, *trial.workers)
 
 
-def test_an_answer_that_is_late_reaches_nobody_else() -> None:
+def test_late_answer_does_not_reach_another_client() -> None:
     """Guard against passing a worker's late answer to another client.
 
     The first client gets 504 at its deadline, and the worker's answer arrives during a second request.
@@ -380,7 +379,7 @@
     async def body(data_plane: DataPlaneUnderTest) -> None:
         first = await data_plane.client()
         assert (await first.request("/unsafe/x", "r1", "", "X-Deadline: 200")).status == 504
-        worker.default = answer_well
+        worker.default = answer_completely
         late.set()
         second = await (await data_plane.client()).request("/unsafe/x", "r2")
         assert (second.status, second.body) == (200, b"done")
@@ -392,18 +391,18 @@
 # --- two attempts with one request id -------------------------------------------------------------
 
 
-def test_a_request_with_the_same_id_does_not_take_the_connection_of_the_first() -> None:
+def test_request_with_a_repeated_id_uses_a_new_connection() -> None:
     """On the same connection a duplicate of the first answer would be taken for the answer to the second request."""
     written: dict[object, str] = {}
 
-    async def answer_with_the_surplus(turn: WorkerTurn) -> None:
+    async def answer_after_duplicate(turn: WorkerTurn) -> None:
         surplus = written.get(turn.writer)
         if surplus is not None:
             await turn.answer("200 OK", surplus)  # a late duplicate of the first answer
         written[turn.writer] = f"body-{len(written)}"
         await turn.answer("200 OK", written[turn.writer])
 
-    worker = ScriptedWorker("w1", default=answer_with_the_surplus)
+    worker = ScriptedWorker("w1", default=answer_after_duplicate)
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         client = await data_plane.client()
@@ -414,32 +413,32 @@
     run(body, worker)
 
 
-class RashDispatcher(Dispatcher):
+class DuplicatingDispatcher(Dispatcher):
     """A planted fault: a dispatcher that sends each request to two workers at once."""
 
     def handle(self, now_ns: int, events: Sequence[Event]) -> list[Action]:
         actions = super().handle(now_ns, events)
         others = {"w1": "w2", "w2": "w1"}
-        doubles = [
+        duplicates = [
             StartAttempt(action.request_id, others[action.worker])
             for action in actions
             if isinstance(action, StartAttempt)
         ]
-        return [*actions, *doubles]
+        return [*actions, *duplicates]
 
 
-@pytest.mark.parametrize(("kind", "most"), [("safe", 2), ("unsafe", 1), ("stream", 1), ("resume", 1)])
-def test_a_dispatcher_that_sends_twice_makes_no_stream_or_unsafe_request_run_twice(kind: str, most: int) -> None:
-    answers = asyncio.Event()
+@pytest.mark.parametrize(("kind", "max_runs"), [("safe", 2), ("unsafe", 1), ("stream", 1), ("resume", 1)])
+def test_duplicate_attempt_of_the_dispatcher_runs_only_safe_requests_twice(kind: str, max_runs: int) -> None:
+    released = asyncio.Event()
 
-    async def answer_when_told(turn: WorkerTurn) -> None:
-        await answers.wait()
-        await answer_well(turn)
+    async def answer_when_released(turn: WorkerTurn) -> None:
+        await released.wait()
+        await answer_completely(turn)
 
-    workers = [ScriptedWorker(name, default=answer_when_told) for name in ("w1", "w2")]
+    workers = [ScriptedWorker(name, default=answer_when_released) for name in ("w1", "w2")]
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
-        data_plane.router._driver._dispatcher = RashDispatcher(dispatcher_settings(data_plane.settings), 1)
+        data_plane.router._driver._dispatcher = DuplicatingDispatcher(dispatcher_settings(data_plane.settings), 1)
         data_plane.router._driver._restart = lambda: None  # type: ignore[method-assign]
         data_plane.configure()
         for worker in workers:
@@ -449,9 +448,9 @@
         while not any(worker.received for worker in workers):
             await asyncio.sleep(0.001)
         await asyncio.sleep(0.05)  # time for a second attempt to reach its worker
-        answers.set()
-        assert_whole(kind, await client.response())
-        assert 1 <= sum(len(worker.received) for worker in workers) <= most
+        released.set()
+        assert_complete(kind, await client.response())
+        assert 1 <= sum(len(worker.received) for worker in workers) <= max_runs
 
     run(body, *workers)
 
@@ -459,17 +458,17 @@
 # --- planted faults that the tests above must detect ----------------------------------------------
 
 
-def test_believing_a_rejection_without_an_id_on_a_reused_connection_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_trust_in_a_rejection_without_id_on_a_reused_connection_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(WorkerConnection, "is_first_use", property(lambda connection: True))
-    runs, answer = try_out(rejection_without_an_id, True, "unsafe")
+    runs, answer = run_trial(rejection_without_an_id, True, "unsafe")
     with pytest.raises(AssertionError, match="written 2 times"):
-        assert_never_twice("unsafe", Verdict.MAY, runs, answer)
+        assert_no_unsafe_retry("unsafe", RetryRule.RETRY_IF_REPEATABLE, runs, answer)
 
 
-def test_forgetting_what_a_connection_carried_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_missing_list_of_recent_request_ids_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(WorkerConnection, "recent_request_ids", property(lambda _: [], lambda *_: None), raising=False)
     with pytest.raises(AssertionError):
-        test_a_request_with_the_same_id_does_not_take_the_connection_of_the_first()
+        test_request_with_a_repeated_id_uses_a_new_connection()
 
 
 # --- resume ---------------------------------------------------------------------------------------
@@ -491,14 +490,14 @@
 @pytest.mark.parametrize("reset", [False, True])
 @pytest.mark.parametrize("partial", ["", "id: 2\nda"])
 @pytest.mark.parametrize("kind", STREAMS)
-def test_a_broken_stream_is_written_again_only_where_it_may_be_resumed(kind: str, partial: str, reset: bool) -> None:
+def test_broken_stream_is_retried_only_if_resumable(kind: str, partial: str, reset: bool) -> None:
     trial = Trial(_break_off(reset, partial))
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         trial.armed = True
         answer = await (await data_plane.client()).request(f"/{kind}/x", "r1")
         if kind == "resume":
-            assert_whole(kind, answer)
+            assert_complete(kind, answer)
             assert trial.runs() == 2
         else:
             # A reset may also discard bytes sent before it; the client then gets 502 and no part of the answer.
@@ -511,7 +510,7 @@
 # --- health checks share the connections ----------------------------------------------------------
 
 
-def test_a_surplus_answer_to_a_request_does_not_pass_for_a_health_answer() -> None:
+def test_duplicate_answer_to_a_request_is_not_taken_for_a_health_answer() -> None:
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -522,10 +521,10 @@
         async def surplus(turn: WorkerTurn) -> None:
             await turn.answer(identity="r1")
 
-        async def well(turn: WorkerTurn) -> None:
+        async def healthy(turn: WorkerTurn) -> None:
             await turn.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Instance: w1\r\n\r\n")
 
-        worker.scripts = [surplus, well]
+        worker.scripts = [surplus, healthy]
         assert await check_health(pool, "w1", "/healthz") is Outcome.BROKEN
         assert await check_health(pool, "w1", "/healthz") is Outcome.OK
         assert worker.connections == 2
