--- a/tests/data_plane/test_data_plane_connections.py
+++ b/tests/data_plane/test_data_plane_connections.py
@@ -96,7 +96,7 @@
 
 
 def test_unsafe_request_avoids_connection_close_to_its_announced_idle_limit() -> None:
-    """Guard against a worker that closes an idle connection while an unsafe request, which is not retried, is sent."""
+    """Guard against a worker that closes an idle connection while an unsafe request is sent, which is never retried."""
 
     async def body(server: Server, pool: WorkerPool) -> None:
         old = await pool.acquire(False)
@@ -137,6 +137,8 @@
 
 
 def test_cancelled_waiter_passes_its_slot_to_the_next_one() -> None:
+    """Guard against a lost wakeup: the waiter that received the free slot is cancelled before it opens a connection."""
+
     async def body(server: Server, pool: WorkerPool) -> None:
         acquired = await pool.acquire(False)
         first, second = (asyncio.ensure_future(pool.acquire(False)) for _ in range(2))
--- a/tests/data_plane/test_data_plane_items.py
+++ b/tests/data_plane/test_data_plane_items.py
@@ -161,6 +161,7 @@
 
 
 def test_cold_until_time_of_a_worker_does_not_move_on_refresh() -> None:
+    """Guard against a cold period that never ends: each refresh would count the reported remaining time anew."""
     worker = ScriptedWorker("w1")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
--- a/tests/data_plane/test_data_plane_requests.py
+++ b/tests/data_plane/test_data_plane_requests.py
@@ -366,7 +366,7 @@
         await client.send(request_bytes("/unsafe/x", "id-1"))
         while not pool._waiting:
             await asyncio.sleep(0)
-        pool._idle.append(acquired)  # the connection becomes idle at the same instant as the request is rejected
+        pool._idle.append(acquired)  # the connection becomes idle just as the request is rejected
         acquired.idle_since_s = asyncio.get_running_loop().time()
         pool._wake_one()
         data_plane.router.end_all()
--- a/tests/data_plane/test_data_plane_streams.py
+++ b/tests/data_plane/test_data_plane_streams.py
@@ -54,7 +54,7 @@
             await turn.event(number)
         if partial:
             await turn.chunk(partial)
-        turn.writer.close()  # the final chunk, which ends the body, is not sent
+        turn.writer.close()  # close before the final chunk, which would end the body
 
     return script
 
--- a/tests/data_plane/test_early_answers.py
+++ b/tests/data_plane/test_early_answers.py
@@ -15,7 +15,7 @@
 LONG_BODY = 24 << 20
 SHORT_BODY = 60_000
 SMALL_BUFFER = 4096
-# Seconds; shorter than the time after which a connection to a peer that does not read is closed.
+# Limit in seconds for an early answer; below the timeout that closes a connection whose peer does not read.
 ANSWER_LIMIT_S = 2.0
 
 
@@ -108,7 +108,7 @@
 def test_early_answer_reaches_the_client_and_its_connection_is_not_reused(
     kind: str, answer: Callable[[str], str], status: int
 ) -> None:
-    """Guard against reuse of the connection: the worker would read the next request as the rest of the first body."""
+    """Guard against reuse of a connection amid a body: the worker would read the next request as part of the body."""
     worker = EarlyWorker("w1", answer)
     long_body = "x" * LONG_BODY
 
--- a/tests/data_plane/test_later_sentences.py
+++ b/tests/data_plane/test_later_sentences.py
@@ -76,7 +76,7 @@
         ("/safe/x", ()),
         ("/no-such-route/x", ()),
         ("/safe/x", ("Authorization: none",)),
-        ("/safe/x", ("X-Large: " + "x" * 20_000,)),  # above the header limit of most configurations
+        ("/safe/x", ("X-Large: " + "x" * 20_000,)),  # a header above the limit of most configurations
     ],
 )
 def test_node_without_configuration_answers_every_request_with_503(
@@ -239,7 +239,7 @@
         await turn.answer(body=turn.request.identity)
 
     worker = ScriptedWorker("w1", default=work)
-    later = [f"id-{number}" for number in range(2, 120)]  # in total more bytes than MAX_READ_AHEAD_BYTES
+    later = [f"id-{number}" for number in range(2, 120)]  # requests of more than MAX_READ_AHEAD_BYTES in total
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
         client = await data_plane.client()
@@ -449,7 +449,7 @@
 
 
 def delete_workers(data_plane: DataPlaneUnderTest) -> None:
-    """Delete all workers from the item table without a draining state before."""
+    """Delete all workers from the item table without marking them as draining first."""
     for worker in data_plane.workers:
         data_plane.table.merge([Item(ItemKind.WORKER, worker.name, Version(1 << 62), b"", deleted=True)])
 
@@ -495,6 +495,7 @@
 
 
 def test_worker_deleted_without_draining_receives_no_new_requests() -> None:
+    """Guard against a delayed heartbeat that restores a deleted worker."""
     first, second = ScriptedWorker("w1"), ScriptedWorker("w2")
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -590,7 +591,7 @@
             assert await is_ready(data_plane)
             shutdown = asyncio.ensure_future(data_plane.stop())
             await asyncio.sleep(0)
-            assert not data_plane._cluster.members()[0].ready  # the flag that service discovery reads
+            assert not data_plane._cluster.members()[0].ready  # the readiness flag that service discovery reads
             for _ in range(2):
                 assert not await is_ready(data_plane)
             client = await connect(data_plane._settings.listen["front"])
--- a/tests/data_plane/test_startup.py
+++ b/tests/data_plane/test_startup.py
@@ -1,4 +1,4 @@
-"""The startup check: a new node serves after its first contact or a bounded wait, but not while known to be behind."""
+"""The startup check: a new node serves after first contact or a bounded wait, unless it knows a newer configuration."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
     node.now += 10 * MAX_CONTACT_WAIT_NS
     assert not node.check.is_done()
     node.has_configuration = True
-    assert not node.check.is_done()  # the wait starts with the first configuration
+    assert not node.check.is_done()  # the wait for contact starts with the first configuration
     node.now += MAX_CONTACT_WAIT_NS - 1
     assert not node.check.is_done()
     node.now += 1
--- a/tests/data_plane/test_write_again.py
+++ b/tests/data_plane/test_write_again.py
@@ -310,7 +310,7 @@
 
 
 def test_health_check_of_an_ejected_worker_does_not_count_as_a_run() -> None:
-    """Regression: on a busy machine a health check arrived before a trial ended, and `Trial` could not count it."""
+    """Regression: on a busy machine a health check arrived before a trial ended, and the trial failed to count it."""
     trial = Trial(unproven_429)
 
     async def body(data_plane: DataPlaneUnderTest) -> None:
@@ -392,7 +392,7 @@
 
 
 def test_request_with_a_repeated_id_uses_a_new_connection() -> None:
-    """On the same connection a duplicate of the first answer would be taken for the answer to the second request."""
+    """Guard against reuse of a connection on which a late duplicate of the first answer has the second request's id."""
     written: dict[object, str] = {}
 
     async def answer_after_duplicate(turn: WorkerTurn) -> None:
@@ -447,7 +447,7 @@
         await client.send(request_bytes(f"/{kind}/x"))
         while not any(worker.received for worker in workers):
             await asyncio.sleep(0.001)
-        await asyncio.sleep(0.05)  # time for a second attempt to reach its worker
+        await asyncio.sleep(0.05)  # gives a second attempt time to reach its worker
         released.set()
         assert_complete(kind, await client.response())
         assert 1 <= sum(len(worker.received) for worker in workers) <= max_runs
@@ -459,6 +459,7 @@
 
 
 def test_trust_in_a_rejection_without_id_on_a_reused_connection_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Planted fault: each connection counts as unused, so a rejection without a request id is trusted."""
     monkeypatch.setattr(WorkerConnection, "is_first_use", property(lambda connection: True))
     runs, answer = run_trial(rejection_without_an_id, True, "unsafe")
     with pytest.raises(AssertionError, match="written 2 times"):
@@ -466,6 +467,7 @@
 
 
 def test_missing_list_of_recent_request_ids_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Planted fault: a connection keeps no list of the request ids that were sent on it."""
     monkeypatch.setattr(WorkerConnection, "recent_request_ids", property(lambda _: [], lambda *_: None), raising=False)
     with pytest.raises(AssertionError):
         test_request_with_a_repeated_id_uses_a_new_connection()
