--- a/tests/data_plane/test_startup.py
+++ b/tests/data_plane/test_startup.py
@@ -1,4 +1,4 @@
-"""A node that has just started serves by no configuration that is older than what it should have been told of."""
+"""The startup check: a new node serves after first contact or a bounded wait, unless it knows a newer configuration."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass
 class StartingNode:
-    """What the check asks of a node, and its clock."""
+    """The state of a node that `StartupCheck` reads, and its clock in nanoseconds."""
 
     now: int = 5 * SECOND
     has_configuration: bool = False
@@ -27,19 +27,22 @@
         )
 
 
-def test_older_configuration_of_a_control_node_that_is_behind_is_not_served_by() -> None:
-    """Regression: generation 14 came from a control node that was itself behind, generation 30 23 ms after it."""
+def test_node_does_not_serve_with_an_outdated_configuration() -> None:
+    """Regression: a node that had just started served requests with the outdated generation 14 of the configuration.
+
+    Generation 14 came from a control node that was itself behind; generation 30 followed 23 ms later.
+    """
     node = StartingNode(has_configuration=True)
     assert not node.check.is_done()
     node.now += 23 * MILLISECOND
-    node.is_behind = True  # generation 30 is announced
+    node.is_behind = True  # the node learns that generation 30 exists
     node.has_contact = True
     assert not node.check.is_done()
-    node.is_behind = False  # it is held
+    node.is_behind = False  # the node has received generation 30
     assert node.check.is_done()
 
 
-def test_node_in_contact_with_nothing_newer_known_serves_at_once() -> None:
+def test_node_in_contact_with_current_configuration_serves_at_once() -> None:
     assert StartingNode(has_configuration=True, has_contact=True).check.is_done()
 
 
@@ -50,19 +53,19 @@
     assert not node.check.is_done()
 
 
-def test_node_without_contact_serves_after_a_while_by_what_it_holds() -> None:
+def test_node_without_contact_serves_after_the_contact_wait() -> None:
     node = StartingNode(now=0, has_configuration=False)
     node.now += 10 * MAX_CONTACT_WAIT_NS
     assert not node.check.is_done()
     node.has_configuration = True
-    assert not node.check.is_done()  # the wait counts from the first configuration
+    assert not node.check.is_done()  # the wait for contact starts with the first configuration
     node.now += MAX_CONTACT_WAIT_NS - 1
     assert not node.check.is_done()
     node.now += 1
     assert node.check.is_done()
 
 
-def test_node_without_contact_that_knows_of_something_newer_does_not_serve() -> None:
+def test_node_without_contact_that_is_behind_does_not_serve() -> None:
     node = StartingNode(has_configuration=True, is_behind=True)
     assert not node.check.is_done()
     node.now += 2 * MAX_CONTACT_WAIT_NS
@@ -71,7 +74,7 @@
     assert node.check.is_done()
 
 
-def test_node_that_has_served_does_not_become_unready_by_a_lost_contact_or_a_newer_configuration() -> None:
+def test_serving_node_stays_ready_after_lost_contact_or_newer_configuration() -> None:
     node = StartingNode(has_configuration=True, has_contact=True)
     assert node.check.is_done()
     node.has_contact = False
