--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,7 +14,7 @@
         "test_golden_http.py",
         "test_lab_peers.py::test_the_same_file_is_played_with_real_processes",
         "test_lab_sockets.py",
-        "test_later_sentences.py",
+        "test_guarantees.py",
         "test_leaving_process.py",
         "test_list_told.py",
         "test_model_worker.py",
