--- a/canvasbeam/failure_detection/__init__.py
+++ b/canvasbeam/failure_detection/__init__.py
@@ -1,9 +1,11 @@
 """Failure detectors: monitoring of the cluster's nodes, and SWIM among schedulers in service.
 
-It owns who is suspected and who is declared dead, and by which time-outs. Pure: no clock, no sockets, no global chance.
-A member that receives from nobody must never declare others dead.
+This package decides which members are suspected and which are declared dead, and after which timeouts. The package is
+pure: no clock, no sockets, no global random generator. A member that receives nothing must never declare others dead,
+because the fault may be its own.
 
-Where to start reading: `monitoring.py` serves the control and data planes (`monitor_choice.py`: who monitors whom,
-drawn by `rendezvous.py` from each `node_location.py`). `swim/` serves schedulers that know each other; its docstring
-has the states of a member. `member_status.py` is shared. Each of the two detectors says how it differs from the other.
+Where to start reading: `monitoring.py` serves the control and data planes; `monitor_choice.py` assigns monitors to
+members by rendezvous hashing (`rendezvous.py`) over the locations of the nodes (`node_location.py`). `swim/` serves
+schedulers that exchange datagrams; its docstring lists the states of a member. Both detectors share
+`member_status.py`. The docstring of each detector states how it differs from the other.
 """
--- a/canvasbeam/failure_detection/member_status.py
+++ b/canvasbeam/failure_detection/member_status.py
@@ -1,4 +1,4 @@
-"""The status of a member, as both failure detectors know it."""
+"""The status of a member, shared by both failure detectors."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class MemberStatus(IntEnum):
-    """What is said of a member; of two statuses of one incarnation the higher stands.
+    """The published status of a member; of two statuses of one incarnation, the higher takes precedence.
 
-    The numbers are on the wire (in `gossip/codec.py`) and in stored items (in `cluster/member.py`).
+    The numbers are written on the wire (`gossip/codec.py`) and in stored items (`cluster/member.py`).
     """
 
     ALIVE = 0
--- a/canvasbeam/failure_detection/monitor_choice.py
+++ b/canvasbeam/failure_detection/monitor_choice.py
@@ -1,8 +1,8 @@
-"""Which nodes monitor a member: drawn by rendezvous hashing, so that all nodes draw the same.
+"""Assign monitors to each member by rendezvous hashing, so that all nodes compute the same assignment.
 
-A data-plane node has two monitors in its region, which are near and cheap, and one control node, where possible of
-another region, so that a partition between regions is noticed on the side of the others. A control node is monitored by
-other control nodes. Pure; nothing is kept here.
+A data-plane node has two monitors in its own region, which are near and cheap to reach, and one control node as third
+monitor, in another region where possible, so that a partition between regions is detected from outside the node's
+region. A control node is monitored by other control nodes. The module is pure and stateless.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MonitorCandidates:
-    """The nodes that may monitor others."""
+    """The nodes that may act as monitors, by class and region."""
 
     controls: tuple[NodeLocation, ...]
-    regions: Mapping[str, Sequence[NodeLocation]]  # the data-plane nodes of each region
+    regions: Mapping[str, Sequence[NodeLocation]]  # region name -> data-plane nodes of that region
 
     @classmethod
     def of(cls, locations: Iterable[NodeLocation]) -> MonitorCandidates:
-        """Sort these nodes by class and region."""
+        """Return the candidates among these nodes, grouped by class and region."""
         controls: list[NodeLocation] = []
         regions: dict[str, list[NodeLocation]] = {}
         for location in locations:
@@ -36,7 +36,7 @@
 
 
 def control_monitors(target: NodeLocation, candidates: MonitorCandidates) -> list[NodeLocation]:
-    """Return the control nodes among the monitors of a member: they make up for what its region lacks."""
+    """Return the control nodes that monitor a member: enough to reach three monitors with those in its region."""
     wanted = MONITORS_OF_MEMBER
     if not target.is_control:
         wanted -= min(MONITORS_IN_REGION, _count_others(target, candidates.regions.get(target.region, ())))
@@ -45,7 +45,7 @@
 
 
 def region_monitors(target: NodeLocation, candidates: MonitorCandidates) -> list[NodeLocation]:
-    """Return the data-plane nodes among the monitors of a member: for a control node only where control nodes lack."""
+    """Return the data-plane nodes that monitor a member; a control node has some only if control nodes are too few."""
     wanted = MONITORS_IN_REGION
     if target.is_control:
         wanted = max(0, MONITORS_OF_MEMBER - _count_others(target, candidates.controls))
--- a/canvasbeam/failure_detection/monitoring.py
+++ b/canvasbeam/failure_detection/monitoring.py
@@ -1,22 +1,25 @@
 """Failure detection of the cluster's nodes: each member is pinged by a few monitors.
 
-Pure: events and the time in whole nanoseconds in, actions out. `monitor_choice.py` says who monitors whom.
+The module is pure: input is events and the time in whole nanoseconds, output is actions. `monitor_choice.py` assigns
+monitors to members.
 
 | state of a target | from | to |
 | --- | --- | --- |
-| answering | the start; it answered, or refuted with a higher incarnation | unresponsive: no answer for its time-out |
+| answering | first monitored; the target answered or refuted a suspicion | unresponsive: no answer within the timeout |
 | unresponsive | | answering |
 
-Every change goes through `Monitoring._set_state`. A monitor publishes that an unresponsive target is suspect. The
-target refutes that with a higher incarnation; where it does not, it is dead. A node that receives nothing suspects
-nobody, and only one in contact with most of the control nodes declares a member dead.
+Every state change goes through `Monitoring._set_state`. A monitor publishes an unresponsive target as suspect. The
+target refutes the suspicion by publishing a higher incarnation; a target that does not refute in time is declared dead.
+A node that receives nothing suspects no member, and only a node in contact with most of the control nodes declares a
+member dead.
 
-It differs from `swim/`, the failure detector of schedulers in service, which have no control plane: there everybody
-pings everybody in turn, suspicions spread as gossip, and whoever suspects declares a death itself. Here members and
-suspicions are items that are replicated anyway, a member's time-out grows with each refutation, and a death needs a
-majority's contact. Both hold back while cut off and after a stall; what they hold back differs too much to share code.
+This detector differs from `swim/`, the failure detector of schedulers in service, which have no control plane. In SWIM
+every instance pings every other one in turn, suspicions spread by gossip, and each suspecting instance declares a death
+by itself. Here members and suspicions are replicated items, which exist anyway; a member's timeout grows with each
+refutation; and declaring a death needs contact with a majority. Both detectors suppress suspicions or deaths while the
+node is cut off and after a stall, but the suppressed steps differ too much to share code.
 
-On the wire a ping is a `Probe` (`cluster/membership.proto`); `cluster/node.py` translates.
+On the wire a ping is a `Probe` (`cluster/membership.proto`); `cluster/node.py` translates between the two.
 """
 
 from __future__ import annotations
@@ -31,26 +34,26 @@
 from canvasbeam.runtime.settings import Address
 from canvasbeam.units import MILLISECOND, SECOND
 
-PING_NUMBERS = 1 << 15  # numbers of pings begin again after so many
+PING_NUMBERS = 1 << 15  # ping numbers wrap around to 0 at this value
 
 
 @dataclass(frozen=True, slots=True)
 class MonitoringParameters:
-    """Times in nanoseconds."""
+    """Intervals and timeouts of monitoring, in nanoseconds."""
 
-    ping_interval: int = 300 * MILLISECOND  # between pings to a target
-    answer_timeout: int = 900 * MILLISECOND  # without an answer, after which a target is unresponsive
-    max_answer_timeout: int = 7_200 * MILLISECOND  # of one that has refuted again and again
-    suspicion_timeout: int = 600 * MILLISECOND  # to refute in
-    receive_timeout: int = 500 * MILLISECOND  # without any message, after which a node takes itself for cut off
-    stall_threshold: int = 400 * MILLISECOND  # late by this much, the process did not run
-    assignment_interval: int = 300 * MILLISECOND  # the least time between two assignments of monitors
-    recovery_time: int = 15_000 * MILLISECOND  # of answers, after which the time-out is as at first
+    ping_interval: int = 300 * MILLISECOND  # time between two pings to the same target
+    answer_timeout: int = 900 * MILLISECOND  # time without an answer after which a target is unresponsive
+    max_answer_timeout: int = 7_200 * MILLISECOND  # upper bound of `answer_timeout`, which doubles per refutation
+    suspicion_timeout: int = 600 * MILLISECOND  # time that a suspect has to refute the suspicion
+    receive_timeout: int = 500 * MILLISECOND  # time without any message after which a node counts as cut off
+    stall_threshold: int = 400 * MILLISECOND  # a tick late by more than this means that the process stalled
+    assignment_interval: int = 300 * MILLISECOND  # minimum time between two assignments of monitors
+    recovery_time: int = 15_000 * MILLISECOND  # time of steady answers that resets the answer timeout
 
 
 @dataclass(frozen=True, slots=True)
 class KnownMember:
-    """A member as its item stands."""
+    """A member as described by its current replicated item."""
 
     location: NodeLocation
     incarnation: int
@@ -59,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPing:
-    """Send a ping to a target. A target that is not alive is told so by it, and may refute."""
+    """Send a ping to a target. The ping carries the target's published status, which the target may refute."""
 
     address: Address
     number: int
@@ -69,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishStatus:
-    """Publish this status of a member."""
+    """Publish a new status of a member as a replicated item."""
 
     key: str
     incarnation: int
@@ -77,7 +80,7 @@
 
 
 class TargetState(IntEnum):
-    """Whether a target answers."""
+    """The state of a monitored target: answering or unresponsive."""
 
     ANSWERING = 0
     UNRESPONSIVE = 1
@@ -85,18 +88,18 @@
 
 @dataclass(slots=True)
 class Target:
-    """A member that this node monitors. Times in nanoseconds."""
+    """A member that this node monitors, with the times of its signs of life in nanoseconds."""
 
     known: KnownMember
     last_received_at: int
     answer_timeout: int
     state: TargetState = TargetState.ANSWERING
     answering_since: int = 0
-    last_message_at: int = -SECOND  # when it last sent a message over a connection, unasked
+    last_message_at: int = -SECOND  # when the target last sent a message of its own over a connection
 
 
 class Monitoring:
-    """One node's part in failure detection: it owns its targets, and when suspicions of members began."""
+    """Failure detection by one node; owns the node's targets and the start time of each suspicion."""
 
     def __init__(self, me: NodeLocation, parameters: MonitoringParameters, now: int) -> None:
         self.me = me
@@ -106,7 +109,7 @@
         self._targets_at: dict[Address, Target] = {}
         self._members: dict[str, KnownMember] = {}
         self._suspected_at: dict[str, int] = {}
-        self._eligible: frozenset[str] = frozenset()  # the keys of members that are alive, and may monitor others
+        self._eligible: frozenset[str] = frozenset()  # keys of alive members; only these may be monitors
         self._assigned_at = now - parameters.assignment_interval
         self._is_assigned = True
         self._last_received_at = now
@@ -117,7 +120,7 @@
     # --- events -------------------------------------------------------------------------------------------------------
 
     def set_members(self, now: int, members: Sequence[KnownMember]) -> None:
-        """Take the members that are alive or suspect, as their items stand."""
+        """Replace the list of alive and suspect members by the members of the current items."""
         self._members = {member.location.key: member for member in members}
         self._suspected_at = {
             member.location.key: self._suspected_at.get(member.location.key, now)
@@ -134,18 +137,18 @@
             self._is_assigned = False
 
     def on_received(self, now: int) -> None:
-        """Take note of any message: this node is not cut off."""
+        """Record that a message arrived, which shows that this node is not cut off."""
         self._last_received_at = now
 
     def on_message(self, now: int, sender: Address) -> None:
-        """Take note of a message over a connection: a target that sends these often needs no ping."""
+        """Record a message over a connection; a target that sends such messages often is not pinged."""
         self._on_sign_of_life(now, sender)
         target = self._targets_at.get(sender)
         if target is not None:
             target.last_message_at = now
 
     def on_answer(self, now: int, sender: Address, number: int) -> None:
-        """Take a target's answer to a ping; the answer to an old one says nothing of now, and is counted."""
+        """Record a target's answer to a ping; only count the answer to an old ping, which is no sign of life now."""
         age = (self._ping_number - number) % PING_NUMBERS * self.parameters.ping_interval
         if age > self.parameters.max_answer_timeout:
             self.stale_answers += 1
@@ -163,7 +166,10 @@
             target.answer_timeout = self.parameters.answer_timeout
 
     def tick(self, now: int, has_majority: bool) -> list[SendPing | PublishStatus]:
-        """Do what is due. `has_majority`: this node is in contact with most of the control nodes."""
+        """Return the pings and status changes that are due.
+
+        `has_majority` is True if this node is in contact with most of the control nodes.
+        """
         if now - self._ticked_at > self.parameters.stall_threshold + self.parameters.ping_interval:
             self._on_stall(now)
         self._ticked_at = now
@@ -175,11 +181,11 @@
         return [*self._detect_failures(now, has_majority), *self._pings(now)]
 
     def wake(self) -> int:
-        """Return when `tick` has something to do at the latest."""
+        """Return the time in nanoseconds at which `tick` must next be called at the latest."""
         return self._next_ping_at
 
     def is_unresponsive(self, key: str) -> bool:
-        """Whether this node itself monitors this member and gets no answer."""
+        """Return True if this node monitors this member and receives no answer from the member."""
         target = self._targets.get(key)
         return target is not None and target.state is TargetState.UNRESPONSIVE
 
@@ -206,7 +212,10 @@
         return PublishStatus(known.location.key, known.incarnation, MemberStatus.SUSPECT)
 
     def _declare_dead(self, now: int, key: str, since: int) -> PublishStatus | None:
-        """Declare a death. Control nodes and monitors agree without a vote: they publish the same item."""
+        """Declare a suspect dead when its suspicion has timed out.
+
+        Control nodes and monitors need no vote to agree, because they all publish the same item.
+        """
         if now - since < self.parameters.suspicion_timeout or not (self.me.is_control or key in self._targets):
             return None
         return PublishStatus(key, self._members[key].incarnation, MemberStatus.DEAD)
@@ -220,7 +229,7 @@
         ]
 
     def _set_known(self, now: int, target: Target, known: KnownMember) -> None:
-        """Take a member's new item. Who refutes is alive: it is given more time before the next suspicion."""
+        """Store a member's new item; double the timeout of a target that refuted, because the target is alive."""
         has_refuted = known.incarnation > target.known.incarnation and target.known.status is MemberStatus.SUSPECT
         target.known = known
         if has_refuted and target.state is TargetState.UNRESPONSIVE:
@@ -229,13 +238,13 @@
             self._set_state(now, target, TargetState.ANSWERING)
 
     def _set_state(self, now: int, target: Target, state: TargetState) -> None:
-        """Enter a state. Every change of a target's state goes through here."""
+        """Set the state of a target. Every state change of a target goes through this method."""
         if state is TargetState.ANSWERING and target.state is TargetState.UNRESPONSIVE:
             target.answering_since = now
         target.state = state
 
     def _assign(self, now: int) -> None:
-        """Work out anew whom this node monitors."""
+        """Recompute which members this node monitors."""
         self._is_assigned = True
         self._assigned_at = now
         candidates = MonitorCandidates.of(
@@ -255,7 +264,10 @@
         return target.region == self.me.region and self.me in region_monitors(target, candidates)
 
     def _on_stall(self, now: int) -> None:
-        """Give all targets time after a stall: what this process did not receive meanwhile says nothing of them."""
+        """Restart the timeouts of all targets and suspicions after a stall.
+
+        Messages that this process did not receive during its stall say nothing about the targets.
+        """
         for target in self._targets.values():
             target.last_received_at = max(target.last_received_at, now - self.parameters.ping_interval)
         self._suspected_at = dict.fromkeys(self._suspected_at, now)
--- a/canvasbeam/failure_detection/node_location.py
+++ b/canvasbeam/failure_detection/node_location.py
@@ -1,7 +1,7 @@
-"""Where a node of the cluster is: its failure domain and its address.
+"""The location of a cluster node: its failure domain and its address.
 
-It holds no decisions. The choice of monitors (`monitoring.py`) and the relay tree (`distribution/relay_tree.py`) are
-worked out from it.
+This module makes no decisions. The choice of monitors (`monitoring.py`) and the relay tree
+(`distribution/relay_tree.py`) are computed from node locations.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeLocation:
-    """The zone and region of a node, and how it is reached."""
+    """The key, address, zone, region and class (control node or not) of a node."""
 
     key: str
     address: Address
--- a/canvasbeam/failure_detection/swim/__init__.py
+++ b/canvasbeam/failure_detection/swim/__init__.py
@@ -1,43 +1,47 @@
-"""Which instances of the scheduler there are: SWIM with suspicion, and local health in the manner of Lifeguard.
+"""Membership of scheduler instances: SWIM with suspicion, and local health as in Lifeguard.
 
-Pure: events and the time in whole nanoseconds in, actions out; no I/O, no clock, no sockets, chance from a seed. It
-must never call an instance dead while this one receives nothing itself or is answered by nobody, never go back in an
-incarnation, never take the word of a sender that has not answered a ping of ours, and never send without a bound.
+The package is pure: input is events and the time in whole nanoseconds, output is actions; no I/O, no clock, no sockets,
+randomness only from a seed. This instance must never declare another one dead while it receives nothing or gets no
+answers, never decrease its incarnation, never accept updates from a sender that has not answered a ping, and never send
+an unbounded number of datagrams.
 
 | state of a member | from | to |
 | --- | --- | --- |
-| alive | it answered us, or a member says so | suspect: a ping of ours failed, or a member says so or calls it dead |
-| suspect | | alive: it refuted, with a higher incarnation; dead: the suspicion's time-out passed without a word of it |
-| dead | a time-out passed, or a suspect not received from for the least suspicion is called dead | alive: it refuted |
-| left | it said so at its planned shutdown | alive: a new process of that name |
-| forgotten | dead for `dead_retention`, left for `left_retention` | |
+| alive | it answered a ping, or a member reports it | suspect: a ping failed, or a member reports it suspect or dead |
+| suspect | | alive: it refuted with a higher incarnation; dead: the suspicion timed out without a refutation |
+| dead | the suspicion timed out, or a suspect silent for `min_suspicion` is reported dead | alive: it refuted |
+| left | it announced its planned shutdown | alive: a new process of that name |
+| removed | dead for `dead_retention`, left for `left_retention` | |
 
-Every change goes through `MemberUpdates.set_known`.
+Every change of a member's status goes through `MemberUpdates.set_known`.
 
 | state of this instance | from | to |
 | --- | --- | --- |
-| joining | the start | member: somebody answered |
+| joining | the process started | member: another instance answered |
 | member | | leaving: the planned shutdown; displaced: a newer process of this name answers at another address |
-| displaced | | joining: that process answers no more |
+| displaced | | joining: the newer process no longer answers |
 | leaving | | |
 
-Every change goes through `OwnInstance.set_state`.
+Every change of this instance's state goes through `OwnInstance.set_state`.
 
-What is said of a member is ordered by (start of its process, incarnation, status); of two updates the higher stands, so
-they may come in any order and any number of times. Sources: Das, Gupta, Motivala, "SWIM" (DSN 2002); Dadgar, Phillips,
-Currey, "Lifeguard" (2017). Beyond both: a death by hearsay is a suspicion first, so that a partition that heals kills
-nobody; absent members and the seeds are pinged now and then, so that it heals at all; who receives nothing, or is
-answered by nobody, declares nobody dead.
+Updates about a member are ordered by (start of its process, incarnation, status). The higher of two updates takes
+precedence, so updates may arrive in any order and any number of times. Sources: Das, Gupta, Motivala, "SWIM" (DSN
+2002); Dadgar, Phillips, Currey, "Lifeguard" (2017). Three rules go beyond both papers. A reported death first becomes a
+suspicion, so that no member is declared dead when a partition heals. Absent members and seeds are pinged from time to
+time, because otherwise a partition would not heal. An instance that receives nothing or gets no answers declares no
+member dead.
 
-It differs from `failure_detection/monitoring.py`, which detects failed nodes of the cluster: there members come from
-replicated items, a few monitors are drawn for each, and a suspicion is published as an item that the target refutes.
-Here there is nothing but datagrams: every instance pings every other one in turn, and updates spread on the pings.
+This detector differs from `failure_detection/monitoring.py`, which detects failed nodes of the cluster. In that module
+members come from replicated items, a few monitors are assigned to each member, and a suspicion is published as an item
+that the target refutes. SWIM uses only datagrams: every instance pings every other one in turn, and updates are
+piggybacked on the pings.
 
-Where to start reading: `membership.py` is the entry and routes events to the parts. `ping_exchange.py` sends pings and
-takes answers (`pings.py`: those that are out, `ping_order.py`: whose turn it is). `member_updates.py` changes members
-(`member_table.py`) by the rules of `suspicion.py`. `own_instance.py` is this instance's incarnation and how it refutes.
-`gossip.py` and `datagram_sender.py` spread updates. `reachability.py` and `local_health.py` say how far this instance
-may trust its own observations. `messages.py` and `view.py` hold what goes in and out, `parameters.py` times and sizes.
+Where to start reading: `membership.py` is the entry point and routes events to the other modules. `ping_exchange.py`
+sends pings and processes answers; `pings.py` has the pings in flight, and `ping_order.py` chooses the next member to
+ping. `member_updates.py` changes members (`member_table.py`) by the rules of `suspicion.py`. `own_instance.py` has this
+instance's incarnation and refutations. `gossip.py` and `datagram_sender.py` spread updates. `reachability.py` and
+`local_health.py` measure how reliable this instance's own observations are. `messages.py` and `view.py` define input
+and output, `parameters.py` times and sizes.
 """
 
 from canvasbeam.failure_detection.swim.member_table import Member
--- a/canvasbeam/failure_detection/swim/actions.py
+++ b/canvasbeam/failure_detection/swim/actions.py
@@ -1,4 +1,4 @@
-"""What the parts of the membership want done, in the order in which they decided it."""
+"""Collects the actions that the parts of the membership decide on, in order of decision."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 
 class PendingActions:
-    """The actions of the present call of `Membership.handle`, for all of its parts."""
+    """The actions of the current call of `Membership.handle`; all parts of the membership append to this list."""
 
     def __init__(self) -> None:
         self._actions: list[Action] = []
 
     def clear(self) -> None:
-        """Drop what a call left that ended in an exception."""
+        """Drop the actions left over from a call that ended in an exception."""
         self._actions = []
 
     def send(self, address: str, datagram: Datagram) -> None:
-        """Have this datagram sent as it is."""
+        """Queue a datagram for sending, without adding updates."""
         self._actions.append(SendDatagram(address, datagram))
 
     def report(self, name: str, before: str, after: str, why: str) -> None:
-        """Have a change of a member, or of this instance, reported."""
+        """Queue a report of a state change of a member or of this instance."""
         self._actions.append(ReportChange(name, before, after, why))
 
     def take(self) -> list[Action]:
-        """Return the actions, once."""
+        """Return the queued actions and clear the queue."""
         actions, self._actions = self._actions, []
         return actions
--- a/canvasbeam/failure_detection/swim/datagram_sender.py
+++ b/canvasbeam/failure_detection/swim/datagram_sender.py
@@ -1,6 +1,7 @@
-"""Datagrams that leave, with the updates that ride on them.
+"""Sends datagrams with piggybacked updates.
 
-It owns no state of a member. It must never let a displaced instance spread updates.
+This module owns no member state. A displaced instance must never spread updates, because the newer process with its
+name is the member.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 from canvasbeam.failure_detection.swim.own_instance import OwnInstance
 from canvasbeam.failure_detection.swim.parameters import SwimParameters
 
-LEAVE_RECIPIENTS = 20  # members that are sent the planned shutdown at once
+LEAVE_RECIPIENTS = 20  # maximum number of members that are sent the planned shutdown directly
 
 
 class DatagramSender:
-    """Puts updates on datagrams, and sends those that carry nothing else."""
+    """Adds updates to outgoing datagrams, and sends datagrams that carry only updates."""
 
     def __init__(
         self,
@@ -39,19 +40,19 @@
         self._rng = rng
 
     def send(self, address: str, datagram: Datagram, first: tuple[MemberUpdate, ...] = ()) -> None:
-        """Send a datagram with what its receiver must know first, and with what else is to be spread."""
+        """Send a datagram with the updates in `first`, followed by other updates that are being spread."""
         if not self._own.is_displaced:
             updates = self._gossip.piggyback(self._own.update(), address, first)
             datagram = replace(datagram, updates=updates)
         self._actions.send(address, datagram)
 
     def send_member_list(self, address: str) -> None:
-        """Send the complete list to a process that has just joined through this one."""
+        """Send the complete member list to a process that has just joined through this instance."""
         for updates in self._gossip.member_list(self._own.update()):
             self._actions.send(address, Datagram(DatagramKind.UPDATES, updates=updates))
 
     def send_gossip(self, now: int) -> None:
-        """Send what is still spread to a few members, where it is time."""
+        """Send the updates that are still being spread to a few members, if the gossip interval has elapsed."""
         if not self._gossip.is_due(now):
             return
         self._gossip.postpone(now)
@@ -61,7 +62,7 @@
             self.send(member.known.address, Datagram(DatagramKind.UPDATES))
 
     def send_leave(self) -> None:
-        """Send this instance's planned shutdown to a bounded number of members; they spread it."""
+        """Send this instance's planned shutdown to a bounded number of members, which spread the update."""
         leave = self._own.update()
         self._gossip.spread_alone(leave)
         for member in self._members.sample(LEAVE_RECIPIENTS, self._rng):
--- a/canvasbeam/failure_detection/swim/gossip.py
+++ b/canvasbeam/failure_detection/swim/gossip.py
@@ -1,6 +1,6 @@
-"""Which updates ride on the datagrams: those that are still spread, the least sent first, then the rest in turn.
+"""Selects the updates to piggyback on datagrams: updates still being spread, least sent first, then others in turn.
 
-SWIM, section 4.1. It owns how often each update was sent. It must never put more on a datagram than
+SWIM, section 4.1. This module counts how often each update was sent. The updates on one datagram must never exceed
 `SwimParameters.max_update_bytes`.
 """
 
@@ -16,73 +16,73 @@
 from canvasbeam.failure_detection.swim.parameters import SwimParameters
 from canvasbeam.units import SECOND
 
-NEWCOMER_TIME = 2 * SECOND  # nanoseconds for which a newcomer's datagrams are filled up with the complete list
+NEWCOMER_TIME = 2 * SECOND  # nanoseconds; datagrams to a newcomer are filled with member-list updates for this long
 
 
 @dataclass(slots=True)
 class SpreadingUpdate:
-    """An update that is still spread."""
+    """An update that is still being spread, with the number of times it was sent."""
 
     update: MemberUpdate
     sent_count: int = 0
 
 
 class Gossip:
-    """What is still spread, and what fills the space that it leaves."""
+    """The updates still being spread, and the order of the filler updates that use the remaining space."""
 
     def __init__(self, parameters: SwimParameters, members: MemberTable, rng: random.Random, now: int) -> None:
         self._parameters = parameters
         self._members = members
         self._rng = rng
         self._spreading: dict[str, SpreadingUpdate] = {}
-        self._newcomers: dict[str, int] = {}  # addresses that get the complete list, and until when
-        self._fill_order: list[str] = []  # the names whose updates fill up datagrams next, from the end
+        self._newcomers: dict[str, int] = {}  # address of a newcomer -> end of its newcomer time, in nanoseconds
+        self._fill_order: list[str] = []  # names whose updates are the next fillers, last one first
         self._next_at = now
 
     @property
     def spreading_count(self) -> int:
-        """How many updates are still spread."""
+        """Number of updates that are still being spread."""
         return len(self._spreading)
 
     @property
     def next_at(self) -> int | None:
-        """When datagrams for updates alone are sent next; None where nothing is spread."""
+        """Time of the next datagrams that carry only updates, in nanoseconds; None if no update is being spread."""
         return self._next_at if self._spreading else None
 
     def is_due(self, now: int) -> bool:
-        """Whether datagrams are to be sent now for updates alone."""
+        """Return True if datagrams that carry only updates are due now."""
         return bool(self._spreading) and now >= self._next_at
 
     def postpone(self, now: int) -> None:
-        """Send the next datagrams for updates alone one interval from now."""
+        """Schedule the next datagrams that carry only updates one gossip interval from now."""
         self._next_at = now + self._parameters.gossip_interval
 
     def send_at_once(self, now: int) -> None:
-        """Do not wait for the interval."""
+        """Make the next datagrams that carry only updates due now."""
         self._next_at = now
 
     def spread(self, update: MemberUpdate) -> None:
-        """Spread this in place of what was spread of the same name."""
+        """Start spreading an update, in place of any earlier update of the same member."""
         self._spreading[update.name] = SpreadingUpdate(update)
 
     def spread_alone(self, update: MemberUpdate) -> None:
-        """Spread this, and nothing else."""
+        """Spread only this update, and stop spreading all others."""
         self._spreading = {update.name: SpreadingUpdate(update)}
 
     def drop(self, name: str) -> None:
-        """Spread nothing of this name any more."""
+        """Stop spreading the update of this member."""
         self._spreading.pop(name, None)
 
     def welcome(self, address: str, now: int) -> None:
-        """Fill up the datagrams to a new process: it soon needs the complete list."""
+        """Fill datagrams to a new process with updates for a while, because it needs the complete member list soon."""
         self._newcomers[address] = now + NEWCOMER_TIME
 
     def expire_newcomers(self, now: int) -> None:
-        """Forget newcomers whose time is over."""
+        """Remove newcomers whose newcomer time has elapsed."""
         self._newcomers = {address: until for address, until in self._newcomers.items() if until > now}
 
     def piggyback(self, own: MemberUpdate, address: str, first: tuple[MemberUpdate, ...]) -> tuple[MemberUpdate, ...]:
-        """Return the updates of one datagram: what its receiver must know first, what is spread, some of the rest."""
+        """Return the updates of one datagram: those in `first`, then updates being spread, then fillers."""
         updates = list(first)
         space = self._parameters.max_update_bytes - sum(update.size for update in updates)
         names = {update.name for update in updates}
@@ -106,7 +106,10 @@
             yield update
 
     def _fill(self, own: MemberUpdate, address: str, updates: list[MemberUpdate], names: set[str], space: int) -> None:
-        """Add what is not spread any more, in turn: what got lost is sent again, and newcomers get all."""
+        """Add updates that are no longer being spread, in turn.
+
+        Fillers repair updates that were lost, and bring the complete member list to newcomers.
+        """
         is_newcomer = address in self._newcomers
         space = min(space, self._parameters.max_update_bytes if is_newcomer else self._parameters.filler_bytes)
         for _ in range(len(self._members) + 1):
@@ -130,9 +133,9 @@
         return member.known if member else None
 
     def member_list(self, own: MemberUpdate) -> list[tuple[MemberUpdate, ...]]:
-        """Return everybody who is present, in parts of a datagram each, for a process that has just joined.
+        """Return the updates of all present members, split into one tuple per datagram, for a process that just joined.
 
-        By what fills up datagrams alone it would lack the last few names for many seconds.
+        With filler updates alone, the new process would miss the last few names for many seconds.
         """
         updates = [member.known for member in self._members.present()]
         self._rng.shuffle(updates)
--- a/canvasbeam/failure_detection/swim/member_table.py
+++ b/canvasbeam/failure_detection/swim/member_table.py
@@ -1,4 +1,4 @@
-"""The members that an instance knows, by name, and which of them are alive or suspect."""
+"""The table of an instance's known members by name, with the alive and the suspect members."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """What is known of another instance."""
+    """The current update of another instance, with times in nanoseconds."""
 
-    known: MemberUpdate  # the update that stands
-    since: int  # when its status became what it is
-    last_received_at: int = 0  # when it last sent us a datagram itself; 0 never
+    known: MemberUpdate  # the highest update received for this member
+    since: int  # time of the last status change, or start of the current suspicion
+    last_received_at: int = 0  # time of the last datagram from this member; 0 = never
     suspected_by: set[str] = field(default_factory=set)
-    corrected_at: int = 0  # when we last sent it what is said of it
+    corrected_at: int = 0  # time when this instance last sent the member its own status to refute
 
     @property
     def is_present(self) -> bool:
-        """Whether it counts as a member of the fleet: alive or suspect."""
+        """True if this member counts as part of the fleet: alive or suspect."""
         return self.known.status <= MemberStatus.SUSPECT
 
 
 class MemberTable(dict[str, Member]):
-    """All members by name; `on_status_changed` must be called whenever a member's status becomes another."""
+    """All members by name; every change of a member's status must be followed by `on_status_changed`."""
 
     def __init__(self) -> None:
         super().__init__()
         self.suspects: dict[str, Member] = {}
-        self._alive: list[Member] | None = None  # as last worked out
+        self._alive: list[Member] | None = None  # cached list of alive members; None = recompute
 
     def on_status_changed(self, member: Member) -> None:
-        """Keep what is worked out from the members' statuses up to date."""
+        """Update the index of suspects and invalidate the cached list of alive members."""
         self._alive = None
         if member.known.status is MemberStatus.SUSPECT:
             self.suspects[member.known.name] = member
@@ -42,7 +42,7 @@
             self.suspects.pop(member.known.name, None)
 
     def forget(self, name: str) -> None:
-        """Know nothing of this member any more."""
+        """Remove this member from the table."""
         del self[name]
         self._alive = None
         self.suspects.pop(name, None)
@@ -63,17 +63,17 @@
 
     @property
     def fleet_size(self) -> int:
-        """How many instances are present, this one among them."""
+        """Number of present instances, including this instance."""
         return 1 + len(self.alive()) + len(self.suspects)
 
     def sample(self, count: int, rng: random.Random, excluded: str = "") -> list[Member]:
-        """Return some members that are alive, at random."""
+        """Return at most `count` alive members at random, without the member named `excluded`."""
         candidates = self.alive()
         if excluded:
             candidates = [member for member in candidates if member.known.name != excluded]
         return candidates if len(candidates) <= count else rng.sample(candidates, count)
 
     def longest_absent(self) -> str | None:
-        """Return who has been dead or away the longest: the first to be forgotten for another."""
+        """Return the name of the longest absent member, the first to be evicted; None if no member is absent."""
         absent = self.absent()
         return min(absent, key=lambda member: (member.since, member.known.name)).known.name if absent else None
--- a/canvasbeam/failure_detection/swim/member_updates.py
+++ b/canvasbeam/failure_detection/swim/member_updates.py
@@ -1,7 +1,8 @@
-"""What is said of members: which update stands, suspicions and how they end, and who is forgotten.
+"""Applies updates to the member table, starts and expires suspicions, and removes absent members.
 
-It owns every change of the member table. It must never put a lower update in place of a higher one, nor take a death by
-hearsay for true at once. The table of a member's states is in the package's docstring.
+This module owns every change of the member table. A lower update must never replace a higher one. A reported death must
+never be accepted at once, because otherwise a partition that heals would kill members. The package's docstring has the
+table of member states.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class MemberUpdates:
-    """Changes the member table by what others say, by failed pings, and by time."""
+    """Changes the member table on updates from other members, on failed pings, and on timeouts."""
 
     def __init__(
         self,
@@ -41,10 +42,10 @@
         self._sender = sender
         self._actions = actions
 
-    # --- what others say ----------------------------------------------------------------------------------------------
+    # --- updates from other members -----------------------------------------------------------------------------------
 
     def apply(self, now: int, update: MemberUpdate, source: str) -> None:
-        """Take an update of another member that `source` sent; the higher of two stands."""
+        """Apply an update about another member, received from `source`, if the update is higher than the known one."""
         member = self._members.get(update.name)
         if member is None:
             self._add(now, update, source)
@@ -55,7 +56,8 @@
             return
         is_hearsay = update.status is MemberStatus.DEAD and member.is_present
         if is_hearsay and not self._rules.may_believe(update, member, now):
-            # Who says it is one more witness of a suspicion; the member is told at once, so that it can refute it.
+            # The source of the reported death counts as one more suspecting member. The member reported dead is sent
+            # the suspicion at once, so that it can refute.
             suspicion = MemberUpdate(
                 update.name, update.address, MemberStatus.SUSPECT, update.start, update.incarnation, source
             )
@@ -75,14 +77,15 @@
         self._gossip.spread(update)
 
     def set_known(self, now: int, member: Member, update: MemberUpdate, why: str) -> None:
-        """Let an update stand. Every change of a member's status goes through here."""
+        """Store an update as the known one. Every change of a member's status goes through this method."""
         before = member.known
         member.known = update
         if update.start > before.start:
             member.last_received_at = 0
             self._gossip.welcome(update.address, now)
         if update.status is MemberStatus.SUSPECT:
-            # Where an older incarnation was suspect, too: the newer one is suspected from now on, not from then.
+            # Also if an older incarnation was suspect: the suspicion of the newer incarnation starts now, not at the
+            # start of the older suspicion.
             member.suspected_by = {update.suspected_by}
             member.since = now
         if update.status is not before.status:
@@ -92,7 +95,7 @@
         self._gossip.spread(update)
 
     def _confirm(self, member: Member, update: MemberUpdate) -> None:
-        """Take one more member that suspects it: that shortens the suspicion, and the first few are spread."""
+        """Count one more suspecting member: each shortens the suspicion, and the first few confirmations are spread."""
         suspecting = update.suspected_by
         has_enough = len(member.suspected_by) > self._parameters.confirmations
         if suspecting and suspecting not in member.suspected_by and not has_enough:
@@ -102,7 +105,7 @@
     # --- suspicions ---------------------------------------------------------------------------------------------------
 
     def suspect(self, now: int, member: Member, why: str) -> None:
-        """Suspect a member that answers neither us nor others for us, and tell it so."""
+        """Suspect a member that answered neither direct nor indirect pings, and send the member the suspicion."""
         known = member.known
         suspicion = MemberUpdate(
             known.name, known.address, MemberStatus.SUSPECT, known.start, known.incarnation, self._own_name
@@ -114,7 +117,7 @@
             self._sender.send(known.address, Datagram(DatagramKind.UPDATES), (suspicion,))
 
     def expire_suspicions(self, now: int) -> None:
-        """Declare dead who was suspect for the whole time-out."""
+        """Declare dead each member whose suspicion has timed out."""
         for member in tuple(self._members.suspects.values()):
             if now < self._rules.deadline(member, now):
                 continue
@@ -125,20 +128,20 @@
             self.set_known(now, member, death, f"suspected by {by}, and {evidence}")
 
     def next_deadline(self, now: int) -> int | None:
-        """Return when the next suspicion ends; None where nobody is suspect."""
+        """Return the time in nanoseconds at which the next suspicion times out; None if no member is suspect."""
         return min((self._rules.deadline(member, now) for member in self._members.suspects.values()), default=None)
 
-    # --- what a member must know of itself ----------------------------------------------------------------------------
+    # --- claims that a member may refute ------------------------------------------------------------------------------
 
     def to_refute(self, name: str) -> tuple[MemberUpdate, ...]:
-        """Return what this member must be told of itself, so that it can refute it."""
+        """Return the update that calls this member suspect or dead, for the member to refute; () if none exists."""
         member = self._members.get(name)
         if member is None or member.known.status not in (MemberStatus.SUSPECT, MemberStatus.DEAD):
             return ()
         return (member.known,)
 
     def correct(self, now: int, member: Member) -> None:
-        """Tell a member that is called suspect or dead so, at most once in a direct ping's time-out."""
+        """Send a member its own suspect or dead status to refute, at most once per `direct_ping_timeout`."""
         claims = self.to_refute(member.known.name)
         if claims and now - member.corrected_at >= self._parameters.direct_ping_timeout:
             member.corrected_at = now
@@ -147,7 +150,7 @@
     # --- bounds -------------------------------------------------------------------------------------------------------
 
     def forget_expired(self, now: int) -> None:
-        """Forget who has been dead or away for long."""
+        """Remove members that have been dead for `dead_retention` or have left for `left_retention`."""
         for member in self._members.absent():
             has_left = member.known.status is MemberStatus.LEFT
             retention = self._parameters.left_retention if has_left else self._parameters.dead_retention
@@ -155,7 +158,7 @@
                 self._forget(member.known.name)
 
     def _make_space(self) -> bool:
-        """Return whether one more member may be kept: whoever has been absent the longest is forgotten for it."""
+        """Return True if a new member fits into the table, after evicting the longest absent member if necessary."""
         if len(self._members) < self._parameters.max_members:
             return True
         name = self._members.longest_absent()
--- a/canvasbeam/failure_detection/swim/membership.py
+++ b/canvasbeam/failure_detection/swim/membership.py
@@ -1,8 +1,9 @@
-"""One instance's part in the fleet: the entry point that routes events to the parts, and collects their actions.
+"""The entry point of the SWIM membership: routes events to the other modules and collects their actions.
 
-It owns no decision but the route: `PingExchange` sends pings and takes answers, `MemberUpdates` changes members,
-`OwnInstance` refutes, `Gossip` and `DatagramSender` spread. The states of a member and of this instance are in the
-package's docstring. It must never let the word of a sender that has not answered a ping of ours bring anybody in.
+This module only decides on the routing. `PingExchange` sends pings and processes answers, `MemberUpdates` changes
+members, `OwnInstance` refutes, `Gossip` and `DatagramSender` spread updates. The package's docstring lists the
+states of a member and of this instance. A sender that has not answered a ping from this instance must never add a
+member, because its datagram may be outdated or forged.
 """
 
 from __future__ import annotations
@@ -38,12 +39,12 @@
 from canvasbeam.units import MILLISECOND as MS
 from canvasbeam.units import SECOND
 
-CLEANUP_INTERVAL = SECOND  # nanoseconds between two looks for who is to be forgotten
-MIN_WAKE_DELAY = MS  # nanoseconds: what could not be done now is looked at again a little later
+CLEANUP_INTERVAL = SECOND  # nanoseconds between two checks for expired absent members
+MIN_WAKE_DELAY = MS  # nanoseconds; minimum delay before work that could not be done now is retried
 
 
 class Membership:
-    """One instance's part in the fleet. Times in nanoseconds; chance comes from the seed alone."""
+    """The membership protocol of one instance. Times in nanoseconds; randomness comes only from the seed."""
 
     def __init__(self, me: Sender, seeds: Iterable[str], parameters: SwimParameters, seed: int, now: int) -> None:
         rng = random.Random(seed)
@@ -93,10 +94,10 @@
         self._wake = now
         self._gossip.spread(self.own.update())
 
-    # --- the entry point, and what can be asked -----------------------------------------------------------------------
+    # --- entry point and queries --------------------------------------------------------------------------------------
 
     def handle(self, now: int, events: Sequence[Event]) -> list[Action]:
-        """Take what has come, and do what is due; `wake` then says when time matters next."""
+        """Process events and due timers, and return the resulting actions; set `wake` to the next timer."""
         self._actions.clear()
         self._check_for_stall(now)
         for event in events:
@@ -113,41 +114,41 @@
 
     @property
     def name(self) -> str:
-        """This instance's name."""
+        """Name of this instance."""
         return self.own.name
 
     @property
     def address(self) -> str:
-        """Where the others reach this instance."""
+        """Address at which other instances reach this instance."""
         return self.own.address
 
     @property
     def start(self) -> int:
-        """When this process says that it started, in milliseconds since the epoch."""
+        """Published start time of this process, in milliseconds since the epoch."""
         return self.own.start
 
     @property
     def incarnation(self) -> int:
-        """The incarnation under which this instance speaks."""
+        """Current incarnation of this instance."""
         return self.own.incarnation
 
     @property
     def own_state(self) -> OwnState:
-        """This instance's own state."""
+        """State of this instance."""
         return self.own.state
 
     @property
     def health(self) -> int:
-        """How badly this instance itself does; 0 is well."""
+        """Local health level of this instance, from 0 (healthy) to `max_health_level`."""
         return self._health.level
 
     @property
     def wake(self) -> int:
-        """When `handle` must be called next, with nothing but the time if need be."""
+        """Time in nanoseconds of the next call of `handle`, with `Ticked` if no other event has arrived."""
         return self._wake
 
     def view(self, now: int) -> MembershipView:
-        """Return who is present and absent, and how far that can be relied on."""
+        """Return the present and absent members, with a confidence in this information."""
         present = [member.known.name for member in self.members.present()]
         absent = [member.known.name for member in self.members.absent()]
         is_cut_off, is_unanswered = self.reachability.is_cut_off(now), not self.reachability.is_confirmed(now)
@@ -163,9 +164,9 @@
     # --- time ---------------------------------------------------------------------------------------------------------
 
     def _check_for_stall(self, now: int) -> None:
-        """Notice that this process did not run.
+        """Detect that this process did not run for a while, and restart its timeouts.
 
-        It wakes with every answer overdue, and would call all others dead.
+        After a stall every answer is overdue, so without this check the instance would declare all others dead.
         """
         stall = now - self._wake
         if stall < self.parameters.stall_threshold:
@@ -195,7 +196,7 @@
     # --- datagrams ----------------------------------------------------------------------------------------------------
 
     def on_received(self, now: int, sender: Sender, datagram: Datagram) -> None:
-        """Route a datagram by who sent it."""
+        """Route a datagram by the membership status of its sender."""
         if self.own.state is OwnState.LEAVING:
             return
         if sender.name == self.name:
@@ -219,7 +220,7 @@
         self._on_member(now, member, sender, datagram)
 
     def _admit(self, now: int, sender: Sender) -> Member | None:
-        """Take a process that has answered a ping as a member; None where no more are kept."""
+        """Add a process that has answered a ping as a member; return None if the member table is full."""
         self.updates.apply(now, _alive(sender), sender.name)
         member = self.members.get(sender.name)
         if member is not None:
@@ -227,23 +228,26 @@
         return member
 
     def _on_earlier_process(self, member: Member, sender: Sender, datagram: Datagram) -> None:
-        """Tell a process from before, or one whose clock was set back, who it is taken for: it may prove itself."""
+        """Answer a ping from an earlier process of a name, or from a process whose clock was set back.
+
+        The answer carries the known update of the name, so that a live process can claim a start above the known one.
+        """
         if datagram.kind is DatagramKind.PING:
             self._sender.send(sender.address, Datagram(DatagramKind.ACK, datagram.number), (member.known,))
 
     def _on_absent(self, now: int, member: Member, sender: Sender, datagram: Datagram) -> None:
-        """Ask a dead member back.
+        """Ping back the sender of a datagram that is known as dead; ignore a sender that has left.
 
-        A datagram from the fleet's past. The dead answer for themselves, and so does who has left.
+        The datagram alone may be outdated, so a dead member returns only by its own answer or refutation.
         """
         if member.known.status is MemberStatus.DEAD:
             self.updates.correct(now, member)
             self._on_unverified(now, sender, datagram)
 
     def _on_unverified(self, now: int, sender: Sender, datagram: Datagram) -> None:
-        """Ping an unverified sender back.
+        """Ping an unverified sender back before the sender may become a member.
 
-        A datagram from the fleet's past, or a forged one, must bring nobody in.
+        An outdated or forged datagram must not add a member.
         """
         if datagram.target not in ("", self.name) or self.own.is_displaced:
             return
@@ -254,7 +258,7 @@
         self.pings.verify(now, sender.name if is_known else "", sender.address)
 
     def _on_namesake(self, now: int, sender: Sender, datagram: Datagram) -> None:
-        """Take the datagram of another process that says that it has our name, or an echo of our own."""
+        """Process a datagram from another process with this instance's name; ignore an echo of an own datagram."""
         if sender.address == self.address:
             return
         self.own.note_start(sender.start)
@@ -290,7 +294,7 @@
             self.pings.challenge(now, namesake_address)
 
     def _answer(self, now: int, member: Member, sender: Sender, datagram: Datagram) -> None:
-        """Do what a member's datagram asks for."""
+        """Respond to a member's datagram according to its kind."""
         match datagram.kind:
             case DatagramKind.PING if datagram.target in ("", self.name) and not self.own.is_displaced:
                 ack = Datagram(DatagramKind.ACK, datagram.number)
@@ -305,7 +309,7 @@
                 self.updates.correct(now, member)
 
     def _on_leave(self) -> None:
-        """Tell the others of the planned shutdown; a displaced instance has nothing to tell."""
+        """Announce the planned shutdown, unless this instance is displaced and another process owns its name."""
         if self.own.state is OwnState.LEAVING:
             return
         was_displaced = self.own.is_displaced
--- a/canvasbeam/failure_detection/swim/messages.py
+++ b/canvasbeam/failure_detection/swim/messages.py
@@ -1,7 +1,7 @@
-"""What the instances of a fleet send each other, and the events and actions of the membership.
+"""The datagrams between the instances of a fleet, and the events and actions of the membership.
 
-The numbers of `DatagramKind` and of `MemberStatus` are those of the wire (`canvasbeam/gossip/codec.py`); the names here
-are not.
+The numbers of `DatagramKind` and `MemberStatus` are written on the wire (`canvasbeam/gossip/codec.py`); the names in
+this module are not.
 """
 
 from __future__ import annotations
@@ -11,59 +11,59 @@
 
 from canvasbeam.failure_detection.member_status import MemberStatus
 
-UPDATE_OVERHEAD_BYTES = 24  # of an update in a datagram, beside its texts, at most
+UPDATE_OVERHEAD_BYTES = 24  # maximum size of an encoded update without its strings
 
 
 class DatagramKind(IntEnum):
-    """What a datagram is for."""
+    """The purpose of a datagram; the numbers are written on the wire."""
 
-    PING = 0  # to be answered
-    ACK = 1  # the answer to the ping `number`
-    PING_REQUEST = 2  # please ping `target` at `address` for me: SWIM's ping-req
-    NACK = 3  # the answer to a ping request: the target has not answered this member either
-    UPDATES = 4  # nothing but updates
+    PING = 0  # a ping that the receiver answers by `ACK`
+    ACK = 1  # the answer to the ping with the same `number`
+    PING_REQUEST = 2  # a request to ping `target` at `address` for the sender: ping-req in SWIM
+    NACK = 3  # the answer to a ping request whose target did not answer the helper either
+    UPDATES = 4  # a datagram that carries only updates
 
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """What is said of one member."""
+    """The claimed status of one member."""
 
     name: str
     address: str
     status: MemberStatus
-    start: int  # of its process, in milliseconds since the epoch: the later process is the member
+    start: int  # start of the process, in milliseconds since the epoch; the latest process of a name is the member
     incarnation: int
-    suspected_by: str = ""  # who suspects it, where it is suspect
+    suspected_by: str = ""  # name of the suspecting member; empty if the status is not SUSPECT
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """The order of updates of one name: the highest stands."""
+        """Sort key for updates of the same name; the update with the highest rank takes precedence."""
         return self.start, self.incarnation, int(self.status)
 
     @property
     def size(self) -> int:
-        """Bytes that it takes in a datagram, at most."""
+        """Maximum encoded size of this update in a datagram, in bytes."""
         return len(self.name) + len(self.address) + len(self.suspected_by) + UPDATE_OVERHEAD_BYTES
 
     def is_of_same_incarnation(self, other: MemberUpdate) -> bool:
-        """Whether both speak of one incarnation of one process."""
+        """Return True if both updates concern the same incarnation of the same process."""
         return (self.start, self.incarnation) == (other.start, other.incarnation)
 
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """What a datagram says."""
+    """The content of a datagram; its sender is kept in `Sender`."""
 
     kind: DatagramKind
     number: int = 0
-    target: str = ""  # the name of the member that is pinged; empty where only its address is known
-    address: str = ""  # of the target of a ping request
+    target: str = ""  # name of the pinged member; empty if only its address is known
+    address: str = ""  # address of the target of a ping request; empty in other kinds
     updates: tuple[MemberUpdate, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Sender:
-    """Who a datagram says that it comes from, and the address from which it came."""
+    """The sender claimed in a datagram, and the source address of the datagram."""
 
     name: str
     start: int
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DatagramReceived:
-    """A datagram came that is well formed, of this fleet, and no replay."""
+    """A valid datagram of this fleet was received; malformed and replayed ones are dropped earlier."""
 
     sender: Sender
     datagram: Datagram
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticked:
-    """Time has passed."""
+    """A timer expired; no other input."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendDatagram:
-    """Send this to an address."""
+    """Send a datagram to an address."""
 
     address: str
     datagram: Datagram
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportChange:
-    """Report that a member's state, or our own, is another now, and why."""
+    """Report a state change of a member or of this instance, with its reason."""
 
     name: str
     before: str
--- a/canvasbeam/failure_detection/swim/ping_exchange.py
+++ b/canvasbeam/failure_detection/swim/ping_exchange.py
@@ -1,7 +1,7 @@
-"""Pings and their answers: to members in turn, through others, to dead members, seeds and unverified senders.
+"""Sends direct and indirect pings to members, and pings absent members, seeds and unverified senders.
 
-SWIM, section 3.1, with Lifeguard's local health and negative answers. It owns the pings that are out and when the next
-ones are sent. It changes no member: a ping that fails is handed to `MemberUpdates.suspect`.
+SWIM, section 3.1, with Lifeguard's local health and negative acknowledgements. This module owns the pings in flight and
+the times of the next pings. This module changes no member: a failed ping is passed to `MemberUpdates.suspect`.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from canvasbeam.failure_detection.swim.suspicion import SuspicionRules
 from canvasbeam.failure_detection.swim.view import OwnState
 
-MAX_ADDED_INTERVALS = 2  # ping intervals that bad local health adds between two pings, at most
+MAX_ADDED_INTERVALS = 2  # maximum number of ping intervals that bad local health adds between two pings
 
 
 class PingExchange:
-    """Sends pings when they are due, and takes their answers."""
+    """Sends pings when they are due, and processes their answers."""
 
     def __init__(
         self,
@@ -62,18 +62,18 @@
 
     @property
     def pending_count(self) -> int:
-        """How many pings of ours are out."""
+        """Number of this instance's own pings in flight."""
         return len(self._pings.own)
 
     # --- time ---------------------------------------------------------------------------------------------------------
 
     def expire(self, now: int) -> None:
-        """End the pings that were not answered in time, and ask others to help with those that are late."""
+        """End the pings whose timeout has elapsed, and send ping requests for pings that are late."""
         self._expire_own(now)
         self._expire_relayed(now)
 
     def send_due(self, now: int) -> None:
-        """Send the next ping to a member, and one to an address that may have a member, where it is time."""
+        """Send the next ping to a member and the next ping to an absent member or a seed, if either is due."""
         if now >= self.next_ping_at:
             intervals = 1 + min(self._health.level, MAX_ADDED_INTERVALS)
             self.next_ping_at = now + self._jittered(self._parameters.ping_interval * intervals)
@@ -82,16 +82,17 @@
             self.reconnect(now)
 
     def next_expiry(self) -> int | None:
-        """Return when a ping that is out must be looked at next; None where none is out.
+        """Return the time in nanoseconds of the next timeout of a ping in flight; None if no ping is in flight.
 
-        Dead members and seeds have their turn with the pings to members: each wake-up costs more than its work.
+        Pings to dead members and seeds get no wake-up of their own and are sent at the wake-ups for member pings,
+        because a wake-up costs more than its work.
         """
         times = [ping.sent_at + self._wait_of(ping) for ping in self._pings.own.values()]
         times += [ping.expires_at for ping in self._pings.relayed.values()]
         return min(times, default=None)
 
     def on_stall(self) -> None:
-        """Let no ping that is out fail after a stall: its answer is late for this process's own reasons."""
+        """Drop the pings to members after a stall, because their answers are late through a fault of this process."""
         self._pings.forget_counted()
 
     def _wait_of(self, ping: PendingPing) -> int:
@@ -100,20 +101,20 @@
         return self._parameters.direct_ping_timeout
 
     def _timeout(self) -> int:
-        """Return how long a ping may take; a process that is slow itself gives others more time."""
+        """Return the timeout of a ping in nanoseconds; a slow instance allows others more time."""
         return self._parameters.ping_timeout * (1 + self._health.level)
 
     def _jittered(self, interval: int) -> int:
-        """Return the interval, changed at random by a tenth at most.
+        """Return the interval with a random jitter of at most 10 percent.
 
-        Instances that were started together would all ping in the same instants.
+        Without jitter, instances that were started together would all ping at the same moments.
         """
         return round(interval * (0.9 + 0.2 * self._rng.random()))
 
-    # --- pings that are sent ------------------------------------------------------------------------------------------
+    # --- sending pings ------------------------------------------------------------------------------------------------
 
     def ping_next_member(self, now: int) -> None:
-        """Ping the member whose turn it is."""
+        """Ping the next member of the ping order."""
         if self._own.state is not OwnState.MEMBER:
             return
         member = self._order.next()
@@ -121,9 +122,10 @@
             self._ping(now, member.known.name, member.known.address, counts=True)
 
     def reconnect(self, now: int) -> None:
-        """Ping an absent member, or a seed that is no member: so a partition heals, and a fleet is found.
+        """Ping an absent member or a seed that is not a member, so that partitions heal and a new instance joins.
 
-        Who has left may have started again, and with all seeds gone nobody else would know of it.
+        Members that have left are pinged, too: such a member may have been restarted, and if all seeds are gone, no
+        other instance would learn of the restart.
         """
         is_joining = self._own.state is OwnState.JOINING
         interval = self._join_interval if is_joining else self._parameters.reconnect_interval
@@ -141,14 +143,14 @@
             self._ping(now, name, address, counts=False)
 
     def verify(self, now: int, name: str, address: str) -> None:
-        """Ping an unverified sender back, within a bound and once at a time."""
+        """Ping an unverified sender back, with at most `max_unverified` pings in flight and one per address."""
         pending = self._pings.uncounted()
         is_pending = any(ping.address == address for ping in pending)
         if len(pending) < self._parameters.max_unverified and not is_pending:
             self._ping(now, name, address, counts=False)
 
     def challenge(self, now: int, address: str) -> None:
-        """Ping a process that has our name; whichever is newer and answers keeps it."""
+        """Ping a process with this instance's name; the newer of the two processes keeps the name if it answers."""
         if not self._pings.is_out_to(address):
             self._ping(now, self._own.name, address, counts=False)
 
@@ -156,7 +158,7 @@
         number = self._pings.add(PendingPing(name, address, now, counts))
         self._sender.send(address, Datagram(DatagramKind.PING, number, name), self._updates.to_refute(name))
 
-    # --- pings that end -----------------------------------------------------------------------------------------------
+    # --- ping timeouts ------------------------------------------------------------------------------------------------
 
     def _expire_own(self, now: int) -> None:
         for number, ping in tuple(self._pings.own.items()):
@@ -169,7 +171,7 @@
 
     def _ask_others(self, number: int, ping: PendingPing) -> None:
         ping.is_indirect = True
-        # Once more ourselves, too: most often a single datagram got lost.
+        # Also repeat the direct ping, because most often only a single datagram was lost.
         again = Datagram(DatagramKind.PING, number, ping.name)
         self._sender.send(ping.address, again, self._updates.to_refute(ping.name))
         for helper in self._members.sample(self._parameters.indirect_pings, self._rng, excluded=ping.name):
@@ -179,14 +181,15 @@
 
     def _on_failed(self, now: int, ping: PendingPing) -> None:
         if ping.name == self._own.name:
-            # Whoever had our name does not answer: the name is ours, above what was said of it.
+            # The other process with this name does not answer, so this instance claims the name with a later start.
             if not self._own.is_displaced:
                 self._own.claim_name(now, f"nobody of this name answers at {ping.address}")
             return
         if not ping.counts:
             return
         self._health.on_ping_ended(is_answered=False)
-        # Lifeguard: helpers that could not reach it say so; where they do not answer either, it may be us.
+        # Lifeguard: helpers that cannot reach the target send a NACK. Missing NACKs suggest that the fault is this
+        # instance's own.
         if ping.nacks < ping.helpers or not ping.helpers:
             self._health.worsen()
         member = self._members.get(ping.name)
@@ -195,7 +198,10 @@
         self._updates.suspect(now, member, "it answered neither us nor others for us")
 
     def _is_suspecting_itself(self, now: int) -> bool:
-        """Whether nothing was received for so long that the fault is taken for our own, and not yet for too long."""
+        """Return True if the silence is longer than `receive_timeout` but below half of `isolation_timeout`.
+
+        Within these bounds this instance attributes the silence to a fault of its own.
+        """
         quiet_time = self._reachability.quiet_time(now)
         return self._parameters.receive_timeout < quiet_time < self._parameters.isolation_timeout // 2
 
@@ -208,19 +214,19 @@
     # --- answers and requests -----------------------------------------------------------------------------------------
 
     def answered_by(self, sender: Sender, datagram: Datagram) -> PendingPing | None:
-        """Return the ping of ours that this datagram answers."""
+        """Return the own pending ping that this datagram answers; None if there is none."""
         return self._pings.answered_by(sender, datagram)
 
     def is_pending(self, number: int) -> bool:
-        """Whether a ping of ours is out under this number."""
+        """Return True if an own ping with this number is in flight."""
         return number in self._pings.own
 
     def on_nack(self, number: int) -> None:
-        """Count a helper whom the target has not answered either; the ping must be out."""
+        """Count a helper that got no answer from the target either; the ping must be in flight."""
         self._pings.own[number].nacks += 1
 
     def on_ack(self, now: int, datagram: Datagram) -> None:
-        """Take the answer to a ping: ours, or one on behalf of another member."""
+        """Process the answer to an own ping, or forward the answer to a ping relayed for another member."""
         relayed = self._pings.relayed.pop(datagram.number, None)
         if relayed is not None:
             self._sender.send(relayed.address, Datagram(DatagramKind.ACK, relayed.number, relayed.target))
@@ -234,13 +240,13 @@
             self._health.improve()
 
     def _confirm_contact(self, now: int, ping: PendingPing) -> None:
-        """Count contact from when the ping was sent: what came later may have been lost."""
+        """Confirm contact as of the sending of the ping, because datagrams sent later may have been lost."""
         if not self._reachability.is_confirmed(now):
             self._rules.restart_all(now)
         self._reachability.confirm(ping.sent_at)
 
     def on_ping_request(self, now: int, sender: Sender, datagram: Datagram) -> None:
-        """Ping a member on behalf of another one, within a bound."""
+        """Ping a member on behalf of another member, with at most `max_unverified` relayed pings in flight."""
         if self._own.state is not OwnState.MEMBER or len(self._pings.relayed) >= self._parameters.max_unverified:
             return
         if not datagram.target or datagram.target == self._own.name:
--- a/canvasbeam/failure_detection/swim/ping_order.py
+++ b/canvasbeam/failure_detection/swim/ping_order.py
@@ -1,6 +1,7 @@
-"""Which member is pinged next: in turn a neighbour that is the same everywhere, and the next of a random order.
+"""Chooses the next member to ping, alternating between a fixed neighbour and the next of a random order.
 
-The random order is SWIM's (section 4.3): everybody is pinged once in each pass.
+The random order is that of SWIM (section 4.3): each pass pings every member once. The neighbour is the next member in
+an order of names that is the same on all instances.
 """
 
 from __future__ import annotations
@@ -14,8 +15,8 @@
 class PingOrder:
     """The order of this instance's pings.
 
-    By random orders alone nobody pings one of forty that has just died for over a second, once in a hundred
-    times; by neighbours alone two that die together hide each other.
+    With random orders alone, in one of a hundred cases no instance of a fleet of 40 pings a member that has just died
+    for over a second. With neighbours alone, two neighbours that die together hide each other's death.
     """
 
     def __init__(self, own_name: str, members: MemberTable, rng: random.Random) -> None:
@@ -26,11 +27,11 @@
         self._is_neighbours_turn = False
 
     def add(self, name: str) -> None:
-        """Give a new member a place in the present random order, too."""
+        """Insert a new member at a random position of the current random order."""
         self._random_order.insert(self._rng.randint(0, len(self._random_order)), name)
 
     def next(self) -> Member | None:
-        """Return who is to be pinged now; None where nobody is present."""
+        """Return the next member to ping; None if no member is present."""
         self._is_neighbours_turn = not self._is_neighbours_turn
         neighbour = self._neighbour() if self._is_neighbours_turn else None
         return neighbour or self._next_random()
@@ -47,7 +48,7 @@
                 return member
 
     def _neighbour(self) -> Member | None:
-        """Return who is present and comes next after us in the order of the names' checksums."""
+        """Return the present member that follows this instance in the cyclic order of name checksums, or None."""
         own_position = _position(self._own_name)
         present = [*self._members.alive(), *self._members.suspects.values()]
         positions = [(_position(member.known.name), member) for member in present]
--- a/canvasbeam/failure_detection/swim/pings.py
+++ b/canvasbeam/failure_detection/swim/pings.py
@@ -1,4 +1,4 @@
-"""The pings that are out: our own, and those on behalf of other members (SWIM, section 3.1)."""
+"""The pings in flight: this instance's own and those relayed for other members (SWIM, section 3.1)."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 @dataclass(slots=True)
 class PendingPing:
-    """A ping of ours that is out. `name` is empty where only the address is known."""
+    """An own ping in flight, sent at `sent_at` nanoseconds; `name` is empty if only the address is known."""
 
     name: str
     address: str
     sent_at: int
-    counts: bool  # a failure raises suspicion
-    is_indirect: bool = False  # other members were asked to ping, too
-    nacks: int = 0
-    helpers: int = 0  # members that were asked
+    counts: bool  # True if a failure of this ping makes the member suspect
+    is_indirect: bool = False  # True once ping requests were sent to other members
+    nacks: int = 0  # NACKs received from helpers
+    helpers: int = 0  # members that were sent a ping request
 
 
 @dataclass(slots=True)
 class RelayedPing:
-    """A ping that is out on behalf of another member."""
+    """A ping in flight on behalf of another member; `expires_at` in nanoseconds."""
 
-    address: str  # of the member that asked for it
-    number: int  # under which it asked
+    address: str  # address of the requesting member
+    number: int  # ping number in the ping request
     target: str
     expires_at: int
 
 
 class PendingPings:
-    """What is out, by the number that an answer repeats."""
+    """The pings in flight by ping number, which each answer repeats."""
 
     def __init__(self, number: int) -> None:
         self.own: dict[int, PendingPing] = {}
@@ -41,13 +41,13 @@
         self._number = number
 
     def add(self, ping: PendingPing) -> int:
-        """Return the number of a ping of ours that is sent now."""
+        """Register an own ping and return its number."""
         number = self._next_number()
         self.own[number] = ping
         return number
 
     def add_relayed(self, ping: RelayedPing) -> int:
-        """Return the number of a ping that is sent now on behalf of another member."""
+        """Register a ping on behalf of another member and return its number."""
         number = self._next_number()
         self.relayed[number] = ping
         return number
@@ -57,14 +57,14 @@
         return self._number
 
     def answered_by(self, sender: Sender, datagram: Datagram) -> PendingPing | None:
-        """Return the ping of ours that this datagram answers, from the address that it was sent to."""
+        """Return the own ping that this datagram answers from the pinged address; None if there is no such ping."""
         ping = self.own.get(datagram.number) if datagram.kind is DatagramKind.ACK else None
         if ping is None or ping.address != sender.address or ping.name not in ("", sender.name):
             return None
         return ping
 
     def forget_counted(self) -> None:
-        """Let no ping that is out now fail and raise a suspicion."""
+        """Drop the own pings in flight whose failure would raise a suspicion."""
         self.own = {number: ping for number, ping in self.own.items() if not ping.counts}
 
     def uncounted(self) -> list[PendingPing]:
@@ -72,5 +72,5 @@
         return [ping for ping in self.own.values() if not ping.counts]
 
     def is_out_to(self, address: str) -> bool:
-        """Whether a ping of ours to this address is out."""
+        """Return True if an own ping to this address is in flight."""
         return any(ping.address == address for ping in self.own.values())
--- a/canvasbeam/failure_detection/swim/suspicion.py
+++ b/canvasbeam/failure_detection/swim/suspicion.py
@@ -1,10 +1,11 @@
-"""When a suspicion ends in a death, and whether this instance may declare it.
+"""Rules for suspicion timeouts, and for declaring a suspect dead or accepting a reported death.
 
-SWIM, section 4.2; Lifeguard's suspicion time-outs, which fall with the number of members that suspect. It owns the
-rules alone; `member_updates.py` changes members by them.
+SWIM, section 4.2; Lifeguard's suspicion timeouts, which shrink with the number of suspecting members. This module
+contains only the rules; `member_updates.py` applies them to members.
 
-An instance that is cut off, in one direction too, would declare everybody dead; and after a partition each side
-calls the other dead, its own members by hearsay too.
+Without these rules, an instance that is cut off, even in one direction only, would declare all others dead. After a
+partition, each side reports the other side dead, and by such reports an instance would also accept deaths of members on
+its own side.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 from canvasbeam.failure_detection.swim.parameters import SwimParameters
 from canvasbeam.failure_detection.swim.reachability import Reachability
 
-UPDATES_THAT_DOUBLE = 60  # updates that are still spread: with so many, suspicions last twice as long
+UPDATES_THAT_DOUBLE = 60  # number of updates being spread that doubles the length of suspicions
 
 
 class SuspicionRules:
-    """The time-outs of suspicions, by what this instance itself knows."""
+    """Computes suspicion timeouts from the local health, reachability and gossip load of this instance."""
 
     def __init__(
         self,
@@ -40,13 +41,16 @@
         self._gossip = gossip
 
     def may_declare_dead(self, member: Member, now: int) -> bool:
-        """Whether this instance receives from others now, and a ping that it sent since the suspicion was answered."""
+        """Return True if this instance receives datagrams, and a ping sent since the suspicion began was answered."""
         reachability = self._reachability
         is_receiving = now - reachability.last_received_at < self._parameters.min_suspicion
         return is_receiving and reachability.confirmed_at > member.since and reachability.is_confirmed(now)
 
     def may_believe(self, death: MemberUpdate, member: Member, now: int) -> bool:
-        """Whether a death by hearsay is believed: of a suspect that was not received from for the least suspicion."""
+        """Return True if a reported death may be accepted.
+
+        The member must be suspect in the same incarnation, and silent for `min_suspicion` times the health factor.
+        """
         known = member.known
         if known.status is not MemberStatus.SUSPECT or not death.is_of_same_incarnation(known):
             return False
@@ -54,9 +58,10 @@
         return now >= max(member.since, member.last_received_at) + least
 
     def deadline(self, member: Member, now: int) -> int:
-        """Return when a suspect is declared dead, where it does not refute before.
+        """Return the time in nanoseconds at which a suspect that has not refuted is declared dead.
 
-        Two instances cannot tell a partition from a death; after `isolation_timeout` the one that is left declares it.
+        In a fleet of two, a partition looks like the death of the other instance; after `isolation_timeout` the
+        remaining instance declares the death.
         """
         end = round(max(member.since, member.last_received_at) + self._timeout(member))
         if self.may_declare_dead(member, now):
@@ -64,10 +69,10 @@
         return max(end, now + self._parameters.isolation_timeout - self._reachability.quiet_time(now))
 
     def _timeout(self, member: Member) -> float:
-        """Return for how long a suspicion lasts, in nanoseconds: the more members suspect, the shorter.
+        """Return the length of a suspicion in nanoseconds, which shrinks with the number of suspecting members.
 
-        Lifeguard's formula, longer where this process is slow itself.
-        When half of a fleet comes back more updates are spread than fit, and refutations come late.
+        Lifeguard's formula, lengthened if this process itself is slow. The length also grows with the updates being
+        spread: when half of a fleet returns, more updates are spread than datagrams hold, and refutations are late.
         """
         parameters = self._parameters
         others = max(1, self._members.fleet_size - 1)
@@ -77,11 +82,11 @@
         return timeout * (self._health.suspicion_factor * (1 + self._gossip.spreading_count / UPDATES_THAT_DOUBLE))
 
     def restart_all(self, now: int) -> None:
-        """Begin all suspicions anew: while this instance was cut off nobody could refute them."""
+        """Restart all suspicions, because no member could refute while this instance was cut off."""
         for suspect in self._members.suspects.values():
             suspect.since = now
 
     def postpone_all(self, stall: int) -> None:
-        """Do not count a time, in nanoseconds, in which this process did not run."""
+        """Postpone all suspicions by `stall` nanoseconds in which this process did not run."""
         for suspect in self._members.suspects.values():
             suspect.since += stall
--- a/canvasbeam/failure_detection/swim/view.py
+++ b/canvasbeam/failure_detection/swim/view.py
@@ -1,4 +1,4 @@
-"""What the membership tells the rest of the program: this instance's own state, and who is present."""
+"""The membership's public view: the state of this instance, and the present and absent members."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class OwnState(IntEnum):
-    """This instance's own state; the table of transitions is in the package's docstring."""
+    """The state of this instance; the package's docstring has the table of transitions."""
 
     JOINING = 0
     MEMBER = 1
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipView:
-    """Who is present and how far that can be relied on. Times in nanoseconds."""
+    """The present and absent members, with a confidence. Times in nanoseconds."""
 
-    present: tuple[str, ...]  # alive or suspect, this instance among them
-    absent: tuple[str, ...]  # dead or left, not yet forgotten
-    confidence: float  # the share of our last pings that were answered; 0 while cut off or answered by nobody
-    nothing_received_since: int | None  # once that is longer than `receive_timeout`
-    unanswered_since: int | None  # when the last ping that was answered was sent, once longer than `answer_timeout`
+    present: tuple[str, ...]  # names of alive or suspect members, including this instance
+    absent: tuple[str, ...]  # names of members that are dead or have left, until removed
+    confidence: float  # share of the last own pings that were answered, 0 to 1; 0 while cut off or unanswered
+    nothing_received_since: int | None  # time of the last datagram; None until `receive_timeout` has elapsed since
+    unanswered_since: int | None  # sending time of the last answered ping; None within `answer_timeout`
