--- a/canvasbeam/failure_detection/monitoring.py
+++ b/canvasbeam/failure_detection/monitoring.py
@@ -34,7 +34,7 @@
 from canvasbeam.runtime.settings import Address
 from canvasbeam.units import MILLISECOND, SECOND
 
-PING_NUMBERS = 1 << 15  # ping numbers wrap around to 0 at this value
+PING_NUMBER_MODULUS = 1 << 15  # ping numbers wrap around to 0 at this value
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +106,7 @@
         self.parameters = parameters
         self.stale_answers = 0
         self._targets: dict[str, Target] = {}
-        self._targets_at: dict[Address, Target] = {}
+        self._targets_by_address: dict[Address, Target] = {}
         self._members: dict[str, KnownMember] = {}
         self._suspected_at: dict[str, int] = {}
         self._eligible: frozenset[str] = frozenset()  # keys of alive members; only these may be monitors
@@ -143,13 +143,13 @@
     def on_message(self, now: int, sender: Address) -> None:
         """Record a message over a connection; a target that sends such messages often is not pinged."""
         self._on_sign_of_life(now, sender)
-        target = self._targets_at.get(sender)
+        target = self._targets_by_address.get(sender)
         if target is not None:
             target.last_message_at = now
 
     def on_answer(self, now: int, sender: Address, number: int) -> None:
         """Record a target's answer to a ping; only count the answer to an old ping, which is no sign of life now."""
-        age = (self._ping_number - number) % PING_NUMBERS * self.parameters.ping_interval
+        age = (self._ping_number - number) % PING_NUMBER_MODULUS * self.parameters.ping_interval
         if age > self.parameters.max_answer_timeout:
             self.stale_answers += 1
         else:
@@ -157,7 +157,7 @@
 
     def _on_sign_of_life(self, now: int, sender: Address) -> None:
         self.on_received(now)
-        target = self._targets_at.get(sender)
+        target = self._targets_by_address.get(sender)
         if target is None:
             return
         target.last_received_at = now
@@ -221,7 +221,7 @@
         return PublishStatus(key, self._members[key].incarnation, MemberStatus.DEAD)
 
     def _pings(self, now: int) -> list[SendPing]:
-        self._ping_number = (self._ping_number + 1) % PING_NUMBERS
+        self._ping_number = (self._ping_number + 1) % PING_NUMBER_MODULUS
         return [
             SendPing(target.known.location.address, self._ping_number, target.known.incarnation, target.known.status)
             for target in self._targets.values()
@@ -256,7 +256,7 @@
                 fresh = Target(known, now, self.parameters.answer_timeout, answering_since=now)
                 targets[key] = self._targets.get(key, fresh)
         self._targets = targets
-        self._targets_at = {target.known.location.address: target for target in targets.values()}
+        self._targets_by_address = {target.known.location.address: target for target in targets.values()}
 
     def _is_monitor_of(self, target: NodeLocation, candidates: MonitorCandidates) -> bool:
         if self.me.is_control:
--- a/canvasbeam/failure_detection/swim/gossip.py
+++ b/canvasbeam/failure_detection/swim/gossip.py
@@ -73,7 +73,7 @@
         """Stop spreading the update of this member."""
         self._spreading.pop(name, None)
 
-    def welcome(self, address: str, now: int) -> None:
+    def add_newcomer(self, address: str, now: int) -> None:
         """Fill datagrams to a new process with updates for a while, because it needs the complete member list soon."""
         self._newcomers[address] = now + NEWCOMER_TIME
 
--- a/canvasbeam/failure_detection/swim/member_updates.py
+++ b/canvasbeam/failure_detection/swim/member_updates.py
@@ -54,15 +54,15 @@
             self._confirm(member, update)
         if update.rank <= member.known.rank:
             return
-        is_hearsay = update.status is MemberStatus.DEAD and member.is_present
-        if is_hearsay and not self._rules.may_believe(update, member, now):
+        is_reported_death = update.status is MemberStatus.DEAD and member.is_present
+        if is_reported_death and not self._rules.may_accept_death(update, member, now):
             # The source of the reported death counts as one more suspecting member. The member reported dead is sent
             # the suspicion at once, so that it can refute.
             suspicion = MemberUpdate(
                 update.name, update.address, MemberStatus.SUSPECT, update.start, update.incarnation, source
             )
             self.apply(now, suspicion, source)
-            self.correct(now, member)
+            self.send_claims(now, member)
             return
         self.set_known(now, member, update, _reason(update, source))
 
@@ -71,7 +71,7 @@
             return
         member = self._members[update.name] = Member(update, now, suspected_by={update.suspected_by})
         self._order.add(update.name)
-        self._gossip.welcome(update.address, now)
+        self._gossip.add_newcomer(update.address, now)
         self._members.on_status_changed(member)
         self._report(member, "unknown", _reason(update, source))
         self._gossip.spread(update)
@@ -82,7 +82,7 @@
         member.known = update
         if update.start > before.start:
             member.last_received_at = 0
-            self._gossip.welcome(update.address, now)
+            self._gossip.add_newcomer(update.address, now)
         if update.status is MemberStatus.SUSPECT:
             # Also if an older incarnation was suspect: the suspicion of the newer incarnation starts now, not at the
             # start of the older suspicion.
@@ -133,16 +133,16 @@
 
     # --- claims that a member may refute ------------------------------------------------------------------------------
 
-    def to_refute(self, name: str) -> tuple[MemberUpdate, ...]:
+    def claims_about(self, name: str) -> tuple[MemberUpdate, ...]:
         """Return the update that calls this member suspect or dead, for the member to refute; () if none exists."""
         member = self._members.get(name)
         if member is None or member.known.status not in (MemberStatus.SUSPECT, MemberStatus.DEAD):
             return ()
         return (member.known,)
 
-    def correct(self, now: int, member: Member) -> None:
+    def send_claims(self, now: int, member: Member) -> None:
         """Send a member its own suspect or dead status to refute, at most once per `direct_ping_timeout`."""
-        claims = self.to_refute(member.known.name)
+        claims = self.claims_about(member.known.name)
         if claims and now - member.corrected_at >= self._parameters.direct_ping_timeout:
             member.corrected_at = now
             self._sender.send(member.known.address, Datagram(DatagramKind.UPDATES), claims)
--- a/canvasbeam/failure_detection/swim/membership.py
+++ b/canvasbeam/failure_detection/swim/membership.py
@@ -108,7 +108,7 @@
                     self._on_leave()
                 case Ticked():
                     pass
-        self._do_what_is_due(now)
+        self._run_due_work(now)
         self._wake = self._next_wake(now)
         return self._actions.take()
 
@@ -176,7 +176,7 @@
         self.pings.on_stall()
         self._rules.postpone_all(stall)
 
-    def _do_what_is_due(self, now: int) -> None:
+    def _run_due_work(self, now: int) -> None:
         self.pings.expire(now)
         self.updates.expire_suspicions(now)
         self.pings.send_due(now)
@@ -241,7 +241,7 @@
         The datagram alone may be outdated, so a dead member returns only by its own answer or refutation.
         """
         if member.known.status is MemberStatus.DEAD:
-            self.updates.correct(now, member)
+            self.updates.send_claims(now, member)
             self._on_unverified(now, sender, datagram)
 
     def _on_unverified(self, now: int, sender: Sender, datagram: Datagram) -> None:
@@ -298,7 +298,7 @@
         match datagram.kind:
             case DatagramKind.PING if datagram.target in ("", self.name) and not self.own.is_displaced:
                 ack = Datagram(DatagramKind.ACK, datagram.number)
-                self._sender.send(sender.address, ack, self.updates.to_refute(member.known.name))
+                self._sender.send(sender.address, ack, self.updates.claims_about(member.known.name))
             case DatagramKind.ACK:
                 self.pings.on_ack(now, datagram)
             case DatagramKind.NACK if self.pings.is_pending(datagram.number):
@@ -306,7 +306,7 @@
             case DatagramKind.PING_REQUEST:
                 self.pings.on_ping_request(now, sender, datagram)
             case _:
-                self.updates.correct(now, member)
+                self.updates.send_claims(now, member)
 
     def _on_leave(self) -> None:
         """Announce the planned shutdown, unless this instance is displaced and another process owns its name."""
--- a/canvasbeam/failure_detection/swim/own_instance.py
+++ b/canvasbeam/failure_detection/swim/own_instance.py
@@ -15,7 +15,7 @@
 from canvasbeam.failure_detection.swim.view import OwnState
 
 # Reconnect intervals without an answer from the newer process, after which a displaced instance reclaims its name.
-NAME_CHECK_INTERVALS = 10
+RECLAIM_INTERVALS = 10
 
 
 class OwnInstance:
@@ -93,11 +93,11 @@
         self._postpone_reclaim(now)
 
     def reclaim_name_if_free(self, now: int) -> None:
-        """Rejoin under this name if the newer process has not answered for `NAME_CHECK_INTERVALS` intervals."""
+        """Rejoin under this name if the newer process has not answered for `RECLAIM_INTERVALS` intervals."""
         if self.is_displaced and now >= self._reclaim_at:
             self._postpone_reclaim(now)
             self.set_state(OwnState.JOINING, "the other process of this name answers no more")
             self.claim_name(now, "taken up again")
 
     def _postpone_reclaim(self, now: int) -> None:
-        self._reclaim_at = now + NAME_CHECK_INTERVALS * self._parameters.reconnect_interval
+        self._reclaim_at = now + RECLAIM_INTERVALS * self._parameters.reconnect_interval
--- a/canvasbeam/failure_detection/swim/ping_exchange.py
+++ b/canvasbeam/failure_detection/swim/ping_exchange.py
@@ -93,10 +93,10 @@
 
     def on_stall(self) -> None:
         """Drop the pings to members after a stall, because their answers are late through a fault of this process."""
-        self._pings.forget_counted()
+        self._pings.drop_suspicion_raising()
 
     def _wait_of(self, ping: PendingPing) -> int:
-        if ping.is_indirect or not ping.counts:
+        if ping.is_indirect or not ping.raises_suspicion:
             return self._timeout()
         return self._parameters.direct_ping_timeout
 
@@ -119,7 +119,7 @@
             return
         member = self._order.next()
         if member is not None:
-            self._ping(now, member.known.name, member.known.address, counts=True)
+            self._ping(now, member.known.name, member.known.address, raises_suspicion=True)
 
     def reconnect(self, now: int) -> None:
         """Ping an absent member or a seed that is not a member, so that partitions heal and a new instance joins.
@@ -140,23 +140,23 @@
         candidates = sorted(absent) + [("", seed) for seed in self._seeds if seed not in known]
         if candidates:
             name, address = self._rng.choice(candidates)
-            self._ping(now, name, address, counts=False)
+            self._ping(now, name, address, raises_suspicion=False)
 
     def verify(self, now: int, name: str, address: str) -> None:
         """Ping an unverified sender back, with at most `max_unverified` pings in flight and one per address."""
-        pending = self._pings.uncounted()
+        pending = self._pings.not_raising_suspicion()
         is_pending = any(ping.address == address for ping in pending)
         if len(pending) < self._parameters.max_unverified and not is_pending:
-            self._ping(now, name, address, counts=False)
+            self._ping(now, name, address, raises_suspicion=False)
 
     def challenge(self, now: int, address: str) -> None:
         """Ping a process with this instance's name; the newer of the two processes keeps the name if it answers."""
-        if not self._pings.is_out_to(address):
-            self._ping(now, self._own.name, address, counts=False)
+        if not self._pings.is_in_flight_to(address):
+            self._ping(now, self._own.name, address, raises_suspicion=False)
 
-    def _ping(self, now: int, name: str, address: str, *, counts: bool) -> None:
-        number = self._pings.add(PendingPing(name, address, now, counts))
-        self._sender.send(address, Datagram(DatagramKind.PING, number, name), self._updates.to_refute(name))
+    def _ping(self, now: int, name: str, address: str, *, raises_suspicion: bool) -> None:
+        number = self._pings.add(PendingPing(name, address, now, raises_suspicion))
+        self._sender.send(address, Datagram(DatagramKind.PING, number, name), self._updates.claims_about(name))
 
     # --- ping timeouts ------------------------------------------------------------------------------------------------
 
@@ -166,14 +166,14 @@
             if age >= self._timeout():
                 del self._pings.own[number]
                 self._on_failed(now, ping)
-            elif ping.counts and not ping.is_indirect and age >= self._parameters.direct_ping_timeout:
-                self._ask_others(number, ping)
+            elif ping.raises_suspicion and not ping.is_indirect and age >= self._parameters.direct_ping_timeout:
+                self._send_ping_requests(number, ping)
 
-    def _ask_others(self, number: int, ping: PendingPing) -> None:
+    def _send_ping_requests(self, number: int, ping: PendingPing) -> None:
         ping.is_indirect = True
         # Also repeat the direct ping, because most often only a single datagram was lost.
         again = Datagram(DatagramKind.PING, number, ping.name)
-        self._sender.send(ping.address, again, self._updates.to_refute(ping.name))
+        self._sender.send(ping.address, again, self._updates.claims_about(ping.name))
         for helper in self._members.sample(self._parameters.indirect_pings, self._rng, excluded=ping.name):
             ping.helpers += 1
             request = Datagram(DatagramKind.PING_REQUEST, number, ping.name, ping.address)
@@ -185,7 +185,7 @@
             if not self._own.is_displaced:
                 self._own.claim_name(now, f"nobody of this name answers at {ping.address}")
             return
-        if not ping.counts:
+        if not ping.raises_suspicion:
             return
         self._health.on_ping_ended(is_answered=False)
         # Lifeguard: helpers that cannot reach the target send a NACK. Missing NACKs suggest that the fault is this
@@ -193,11 +193,11 @@
         if ping.nacks < ping.helpers or not ping.helpers:
             self._health.worsen()
         member = self._members.get(ping.name)
-        if member is None or member.last_received_at >= ping.sent_at or self._is_suspecting_itself(now):
+        if member is None or member.last_received_at >= ping.sent_at or self._is_own_fault_likely(now):
             return
         self._updates.suspect(now, member, "it answered neither us nor others for us")
 
-    def _is_suspecting_itself(self, now: int) -> bool:
+    def _is_own_fault_likely(self, now: int) -> bool:
         """Return True if the silence is longer than `receive_timeout` but below half of `isolation_timeout`.
 
         Within these bounds this instance attributes the silence to a fault of its own.
@@ -235,7 +235,7 @@
         if ping is None:
             return
         self._confirm_contact(now, ping)
-        if ping.counts:
+        if ping.raises_suspicion:
             self._health.on_ping_ended(is_answered=True)
             self._health.improve()
 
@@ -254,4 +254,4 @@
         expires_at = now + self._parameters.ping_timeout - self._parameters.direct_ping_timeout
         number = self._pings.add_relayed(RelayedPing(sender.address, datagram.number, datagram.target, expires_at))
         ping = Datagram(DatagramKind.PING, number, datagram.target)
-        self._sender.send(datagram.address, ping, self._updates.to_refute(datagram.target))
+        self._sender.send(datagram.address, ping, self._updates.claims_about(datagram.target))
--- a/canvasbeam/failure_detection/swim/ping_order.py
+++ b/canvasbeam/failure_detection/swim/ping_order.py
@@ -24,7 +24,7 @@
         self._members = members
         self._rng = rng
         self._random_order: list[str] = []
-        self._is_neighbours_turn = False
+        self._is_neighbour_next = False
 
     def add(self, name: str) -> None:
         """Insert a new member at a random position of the current random order."""
@@ -32,8 +32,8 @@
 
     def next(self) -> Member | None:
         """Return the next member to ping; None if no member is present."""
-        self._is_neighbours_turn = not self._is_neighbours_turn
-        neighbour = self._neighbour() if self._is_neighbours_turn else None
+        self._is_neighbour_next = not self._is_neighbour_next
+        neighbour = self._neighbour() if self._is_neighbour_next else None
         return neighbour or self._next_random()
 
     def _next_random(self) -> Member | None:
--- a/canvasbeam/failure_detection/swim/pings.py
+++ b/canvasbeam/failure_detection/swim/pings.py
@@ -16,7 +16,7 @@
     name: str
     address: str
     sent_at: int
-    counts: bool  # True if a failure of this ping makes the member suspect
+    raises_suspicion: bool  # True if a failure of this ping makes the member suspect
     is_indirect: bool = False  # True once ping requests were sent to other members
     nacks: int = 0  # NACKs received from helpers
     helpers: int = 0  # members that were sent a ping request
@@ -63,14 +63,14 @@
             return None
         return ping
 
-    def forget_counted(self) -> None:
+    def drop_suspicion_raising(self) -> None:
         """Drop the own pings in flight whose failure would raise a suspicion."""
-        self.own = {number: ping for number, ping in self.own.items() if not ping.counts}
+        self.own = {number: ping for number, ping in self.own.items() if not ping.raises_suspicion}
 
-    def uncounted(self) -> list[PendingPing]:
+    def not_raising_suspicion(self) -> list[PendingPing]:
         """Return the pings to unverified senders, dead members and missing seeds."""
-        return [ping for ping in self.own.values() if not ping.counts]
+        return [ping for ping in self.own.values() if not ping.raises_suspicion]
 
-    def is_out_to(self, address: str) -> bool:
+    def is_in_flight_to(self, address: str) -> bool:
         """Return True if an own ping to this address is in flight."""
         return any(ping.address == address for ping in self.own.values())
--- a/canvasbeam/failure_detection/swim/suspicion.py
+++ b/canvasbeam/failure_detection/swim/suspicion.py
@@ -20,7 +20,7 @@
 from canvasbeam.failure_detection.swim.parameters import SwimParameters
 from canvasbeam.failure_detection.swim.reachability import Reachability
 
-UPDATES_THAT_DOUBLE = 60  # number of updates being spread that doubles the length of suspicions
+SUSPICION_DOUBLING_UPDATES = 60  # number of updates being spread that doubles the length of suspicions
 
 
 class SuspicionRules:
@@ -46,7 +46,7 @@
         is_receiving = now - reachability.last_received_at < self._parameters.min_suspicion
         return is_receiving and reachability.confirmed_at > member.since and reachability.is_confirmed(now)
 
-    def may_believe(self, death: MemberUpdate, member: Member, now: int) -> bool:
+    def may_accept_death(self, death: MemberUpdate, member: Member, now: int) -> bool:
         """Return True if a reported death may be accepted.
 
         The member must be suspect in the same incarnation, and silent for `min_suspicion` times the health factor.
@@ -54,8 +54,8 @@
         known = member.known
         if known.status is not MemberStatus.SUSPECT or not death.is_of_same_incarnation(known):
             return False
-        least = self._parameters.min_suspicion * self._health.suspicion_factor
-        return now >= max(member.since, member.last_received_at) + least
+        min_silence = self._parameters.min_suspicion * self._health.suspicion_factor
+        return now >= max(member.since, member.last_received_at) + min_silence
 
     def deadline(self, member: Member, now: int) -> int:
         """Return the time in nanoseconds at which a suspect that has not refuted is declared dead.
@@ -79,7 +79,9 @@
         wanted = min(parameters.confirmations, others)
         share = log(min(max(1, len(member.suspected_by)), wanted + 1)) / log(wanted + 1)
         timeout = parameters.max_suspicion - share * (parameters.max_suspicion - parameters.min_suspicion)
-        return timeout * (self._health.suspicion_factor * (1 + self._gossip.spreading_count / UPDATES_THAT_DOUBLE))
+        return timeout * (
+            self._health.suspicion_factor * (1 + self._gossip.spreading_count / SUSPICION_DOUBLING_UPDATES)
+        )
 
     def restart_all(self, now: int) -> None:
         """Restart all suspicions, because no member could refute while this instance was cut off."""
