--- a/canvasbeam/failure_detection/swim/member_table.py
+++ b/canvasbeam/failure_detection/swim/member_table.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """The current update of another instance, with times in nanoseconds."""
+    """Another instance: its current update and the state of its suspicion, times in nanoseconds."""
 
     known: MemberUpdate  # the highest update received for this member
     since: int  # time of the last status change, or start of the current suspicion
--- a/canvasbeam/failure_detection/swim/messages.py
+++ b/canvasbeam/failure_detection/swim/messages.py
@@ -11,7 +11,7 @@
 
 from canvasbeam.failure_detection.member_status import MemberStatus
 
-UPDATE_OVERHEAD_BYTES = 24  # maximum size of an encoded update without its strings
+UPDATE_OVERHEAD_BYTES = 24  # maximum size in bytes of an encoded update without its strings
 
 
 class DatagramKind(IntEnum):
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticked:
-    """A timer expired; no other input."""
+    """The wake-up time was reached without any other event."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/canvasbeam/failure_detection/swim/view.py
+++ b/canvasbeam/failure_detection/swim/view.py
@@ -19,7 +19,7 @@
 class MembershipView:
     """The present and absent members, with a confidence. Times in nanoseconds."""
 
-    present: tuple[str, ...]  # names of alive or suspect members, including this instance
+    present: tuple[str, ...]  # names of alive or suspect members, and of this instance while JOINING or MEMBER
     absent: tuple[str, ...]  # names of members that are dead or have left, until removed
     confidence: float  # share of the last own pings that were answered, 0 to 1; 0 while cut off or unanswered
     nothing_received_since: int | None  # time of the last datagram; None until `receive_timeout` has elapsed since
