--- a/canvasbeam/cluster/channels.py
+++ b/canvasbeam/cluster/channels.py
@@ -1,4 +1,4 @@
-"""The channels by which messages and datagrams reach a part of the program. The numbers are those of the wire."""
+"""The channels that route messages and datagrams between nodes to a subsystem."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Channel(IntEnum):
-    """Which part of the program a message is for."""
+    """The subsystem that receives a message or datagram; the values are the channel numbers on the wire."""
 
     REPLICATION = 1
     DISTRIBUTION = 2
--- a/canvasbeam/cluster/codec.py
+++ b/canvasbeam/cluster/codec.py
@@ -1,7 +1,7 @@
-"""The messages of distribution and of leases as bytes.
+"""Encode and decode the messages of the packages `distribution` and `leases`.
 
-The names on the wire are older than those in the code and stay; they are translated here: `life` is an incarnation,
-`control_age_ms` the age of the contact instant, `heard_*` the time of a keepalive that was received.
+Field names on the wire are older than the names in the code and must stay, so this module translates them: `life` is an
+incarnation, `control_age_ms` is the age of the contact instant, `heard_*` is the send time of a received keepalive.
 """
 
 from __future__ import annotations
@@ -40,14 +40,14 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return a message as bytes."""
+    """Return the wire encoding of `message`."""
     body = wire.DistributionMessage()
     _WRITERS[type(message)](body, message)
     return body.SerializeToString()
 
 
 def decode(payload: bytes) -> Message | Failure:
-    """Return the message that these bytes are, or a `Failure`. Items of kinds that are not known here are left out."""
+    """Return the message encoded in `payload`, without items of unknown kinds; return a `Failure` if it is invalid."""
     try:
         body = wire.DistributionMessage.FromString(payload)
     except DecodeError as error:
@@ -58,7 +58,11 @@
         message = reader(body) if reader else None
     except (DecodeError, ValueError) as error:
         return Failure(ResultCode.MESSAGE_INVALID, str(error))
-    return message if message is not None else Failure(ResultCode.MESSAGE_INVALID, f"a message {name!r}")
+    return (
+        message
+        if message is not None
+        else Failure(ResultCode.MESSAGE_INVALID, f"unknown message type or item kind in body {name!r}")
+    )
 
 
 def _write_subscribe(body: wire.DistributionMessage, message: Subscribe) -> None:
@@ -220,7 +224,7 @@
     return LeaseGrant(body.lease_grant.number, _read_control_versions(body.lease_grant.versions))
 
 
-# A writer takes messages of the type under which it is listed; the type checker can't say so of a mapping.
+# Each function accepts only messages of its key's type. The parameter is `Any`, because a dict type can't express this.
 _WRITERS: dict[type[Message], Callable[[wire.DistributionMessage, Any], None]] = {
     Subscribe: _write_subscribe,
     Keepalive: _write_keepalive,
--- a/canvasbeam/cluster/connection.py
+++ b/canvasbeam/cluster/connection.py
@@ -1,9 +1,9 @@
-"""One TCP connection between two nodes: the introduction, frames in both directions, and its end.
+"""One TCP connection between two nodes: the handshake, frames in both directions, and closing.
 
-The introduction gives each side the incarnation of the other (`runtime/process_incarnation.py`). Frames that were meant
-for an earlier incarnation of the receiver are dropped: the side that connected says for which incarnation they are, and
-corrects that once it has received another. The envelope on the wire calls an incarnation `life`; it is translated here
-and in `transport.py`.
+In the handshake each side sends a `Hello` message with its incarnation (`runtime/process_incarnation.py`) and with the
+incarnation that it expects of the other side. The receiver drops frames addressed to an earlier incarnation of its
+process. If the peer's `Hello` contains an unexpected incarnation, the connecting side sends a frame that corrects the
+addressed incarnation. The wire format calls an incarnation `life`; this module and `transport.py` translate the name.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerInfo:
-    """Who sent a message, and where that node listens."""
+    """The name, listen address and incarnation of the node at the other end of a connection."""
 
     name: str
     address: Address
@@ -37,35 +37,35 @@
 
     @property
     def ip(self) -> str:
-        """The address of its machine."""
+        """The IP address of the peer's machine."""
         return self.address.host
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the transport."""
+    """The part of the transport that a connection uses."""
 
     incarnation_check: IncarnationCheck
 
     def hello(self, expected_incarnation: int) -> bytes:
-        """Return the introduction to a process that is expected to be in this incarnation."""
+        """Return the framed `Hello` message for a peer that is expected to have this incarnation."""
 
     def time(self) -> float:
-        """Return the time of the event loop, in seconds."""
+        """Return the event loop's time, in seconds."""
 
     def on_open(self, connection: Connection) -> None:
-        """Note a connection that came up."""
+        """Register a connection that was established."""
 
     def on_introduced(self, connection: Connection) -> None:
-        """Note that the other side has said who it is."""
+        """Handle the arrival of the peer's `Hello` message on this connection."""
 
     def on_closed(self, connection: Connection) -> None:
-        """Note a connection that ended."""
+        """Unregister a connection that was closed."""
 
     def on_rejected(self) -> None:
-        """Count input that was not understood."""
+        """Count invalid input from a peer."""
 
     def on_frame(self, sender: PeerInfo, channel: int, payload: bytes) -> None:
-        """Pass on a message."""
+        """Deliver a received message to the subsystem of its channel."""
 
 
 class Connection(asyncio.Protocol):
@@ -75,11 +75,10 @@
         self, owner: ConnectionOwner, expected: Address | None, expected_incarnation: int = UNKNOWN_INCARNATION
     ) -> None:
         self.owner = owner
-        self.expected = expected  # where we connected to; None where the other side did
+        self.expected = expected  # address to which this node connected; None for an accepted connection
         self.expected_incarnation = expected_incarnation
-        self._addressed_incarnation = (
-            UNKNOWN_INCARNATION  # for which incarnation of this process the frames that come are
-        )
+        # Incarnation of this process to which the peer addresses its frames.
+        self._addressed_incarnation = UNKNOWN_INCARNATION
         self.peer: PeerInfo | None = None
         self.transport: asyncio.Transport | None = None
         self.used_at = 0.0
@@ -87,7 +86,7 @@
         self._decoder = FrameDecoder()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the introduction."""
+        """Send the `Hello` message on a new connection."""
         self.transport = cast(asyncio.Transport, transport)
         self.used_at = self.owner.time()
         set_socket_options(transport.get_extra_info("socket"))
@@ -95,7 +94,7 @@
         self.owner.on_open(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take received bytes; close a stream that is not understood."""
+        """Decode and handle received frames; abort the connection if they are invalid."""
         self.used_at = self.owner.time()
         try:
             for message in self._decoder.feed(data):
@@ -106,11 +105,14 @@
             self._reject()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that the other side closed, or that the network gave up."""
+        """Report to the transport that the peer closed the connection or that the connection failed."""
         self.owner.on_closed(self)
 
     def write(self, data: bytes) -> bool:
-        """Send, unless the connection is at its end or the other side does not read."""
+        """Send `data` and return True; return False if the connection is closing or its write buffer would overflow.
+
+        The write buffer holds at most `MAX_QUEUE_BYTES` bytes and fills up when the peer does not read.
+        """
         transport = self.transport
         if transport is None or transport.is_closing():
             return False
@@ -121,7 +123,7 @@
         return True
 
     def close_if_idle(self, since: float) -> None:
-        """End a connection that carried nothing since then: its keep-alive probes cost bytes."""
+        """Close the connection if it was last used before `since`, because its TCP keepalive probes cost bytes."""
         if self.used_at < since and self.transport is not None:
             self.is_idle_closed = True
             self.transport.close()
@@ -159,7 +161,10 @@
 
 
 def set_socket_options(sock: socket.socket | None) -> None:
-    """Notice a link that is cut: it says nothing, and the kernel's defaults wait for minutes."""
+    """Set short TCP timeouts, so that a connection over a broken link fails within seconds.
+
+    A broken link sends no FIN or RST, and with the kernel's default timeouts a connection stays open for minutes.
+    """
     if sock is None:
         return
     options = (
--- a/canvasbeam/cluster/datagrams.py
+++ b/canvasbeam/cluster/datagrams.py
@@ -1,7 +1,7 @@
-"""Datagrams between nodes: the UDP socket, and the byte by which a datagram names its channel.
+"""Datagrams between nodes: the UDP socket, and the tag byte that contains the channel of a datagram.
 
-Datagrams of membership go without that byte, as they did before there were others. What a datagram holds is not looked
-at here.
+Membership datagrams have no tag byte, because their format is older than the other channels. This module does not parse
+the payload of a datagram.
 """
 
 from __future__ import annotations
@@ -13,32 +13,34 @@
 from canvasbeam.runtime.settings import Address
 
 MAX_DATAGRAM_BYTES = 1_200
-TAG_BITS = 5  # of the byte that gives the channel of a datagram
-TAG_END = 0b00111  # in its low bits: no protobuf message, which those of membership are untagged, begins so
+TAG_BITS = 5  # number of low bits of the tag byte that hold `TAG_END`; the higher bits hold the channel
+# Low bits of a tag byte. No protobuf message begins with these bits (wire type 7 is invalid), so a tagged datagram is
+# never mistaken for a membership datagram, which is an untagged protobuf message.
+TAG_END = 0b00111
 
 ReceivedDatagram = Callable[[Address, bytes], None]
 
 
 class DatagramSocket(asyncio.DatagramProtocol):
-    """The UDP socket of a node."""
+    """The UDP socket of a node; passes received datagrams to a callback."""
 
     def __init__(self, on_datagram: ReceivedDatagram) -> None:
         self._on_datagram = on_datagram
 
     def datagram_received(self, data: bytes, addr: tuple[str | int, ...]) -> None:
-        """Pass on a datagram."""
+        """Pass a received datagram and its sender's address to the callback."""
         self._on_datagram(Address(str(addr[0]), int(addr[1])), data)
 
 
 def add_channel(payload: bytes, channel: Channel) -> bytes:
-    """Return a datagram's bytes: those of membership as they are, others behind a byte with their channel."""
+    """Return the bytes of a datagram: the payload, after a tag byte unless the channel is `MEMBERSHIP`."""
     if channel is Channel.MEMBERSHIP:
         return payload
     return bytes(((int(channel) << TAG_BITS | TAG_END) & 0xFF,)) + payload
 
 
 def split_channel(data: bytes) -> tuple[int, bytes]:
-    """Return the channel and the payload of a datagram."""
+    """Return the channel number and the payload of a received datagram."""
     if data and data[0] & (1 << TAG_BITS) - 1 == TAG_END:
         return data[0] >> TAG_BITS, data[1:]
     return int(Channel.MEMBERSHIP), data
--- a/canvasbeam/cluster/document_codec.py
+++ b/canvasbeam/cluster/document_codec.py
@@ -1,8 +1,8 @@
-"""The messages by which documents travel, as bytes.
+"""Encode and decode the messages that transfer documents.
 
-What a message says may be wrong in any way, but what follows from it is bounded: a chunk holds no more than
-`compression.MAX_UNPACKED_BYTES`. On the wire a chunk is called `piece`, and both what a
-node stores and the base of a request `held`; they are translated here.
+A received message may have arbitrary wrong content, so its cost is bounded: a chunk unpacks to at most
+`compression.MAX_UNPACKED_BYTES` bytes. This module translates the names on the wire: `piece` is a chunk; `held` is the
+version that a node stores (in an announcement) or the base version (in a request).
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def write(body: wire.DistributionMessage, message: DocumentMessage) -> None:
-    """Put a message into the body of one of distribution."""
+    """Write a document message into the body of a `DistributionMessage`."""
     match message:
         case Announce():
             body.announce.CopyFrom(wire.Announce(held=message.stored, newest=message.newest))
@@ -32,7 +32,7 @@
 
 
 def read_announce(record: wire.Announce) -> Announce:
-    """Return the announcement of a record."""
+    """Return the announcement in a wire record."""
     return Announce(record.held, record.newest)
 
 
@@ -46,7 +46,7 @@
 
 
 def read_request(record: wire.DocumentRequest) -> DocumentRequest:
-    """Return the request of a record."""
+    """Return the document request in a wire record."""
     base = _version(record.held) if record.HasField("held") else None
     transfer = _transfer(record.transfer) if record.HasField("transfer") else None
     return DocumentRequest(base, transfer, record.piece)
@@ -63,7 +63,7 @@
 
 
 def read_chunk(record: wire.DocumentPiece) -> DocumentChunk:
-    """Return the chunk of a record; raise `ValueError` or `DecodeError` where it cannot be read."""
+    """Return the chunk in a wire record; raise `ValueError` or `DecodeError` if the record is invalid."""
     delta = wire.DocumentDelta.FromString(unpack(record.delta))
     return DocumentChunk(
         _transfer(record.transfer),
--- a/canvasbeam/cluster/framing.py
+++ b/canvasbeam/cluster/framing.py
@@ -1,4 +1,4 @@
-"""The byte stream between two nodes: messages of `envelope.proto`, each after its length in four bytes."""
+"""Framing of the byte stream between two nodes: each `envelope.proto` message follows its length in four bytes."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class FrameTooLargeError(Exception):
-    """A length over the limit: the sender is no node of ours, or the stream is damaged."""
+    """A frame length exceeds `MAX_FRAME_BYTES`: the sender is not a node of this system, or the stream is corrupt."""
 
 
 def frame(message: bytes) -> bytes:
-    """Return a message as it goes over a connection."""
+    """Return the message with its length prefix."""
     return len(message).to_bytes(LENGTH_BYTES, "big") + message
 
 
 class FrameDecoder:
-    """Cuts a byte stream into messages."""
+    """Splits a byte stream into messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Yield the messages that are complete; raise `FrameTooLargeError` for a length over the limit."""
+        """Add received bytes and yield complete messages; raise `FrameTooLargeError` for a length over the limit."""
         buffer = self._buffer
         buffer += data
         start = 0
--- a/canvasbeam/cluster/member.py
+++ b/canvasbeam/cluster/member.py
@@ -1,7 +1,8 @@
-"""A member of the system, and the item that describes it.
+"""A member of the cluster, and the item that describes the member.
 
-A member's item has its incarnation as the major version and its `MemberStatus` as the minor one. The member itself
-publishes what it is and whether it is ready, each time as a new incarnation; others may only call it suspect or dead.
+The major version of a member item is the member's incarnation, and the minor version is its `MemberStatus`. Each member
+publishes its own description and readiness, each change under a new incarnation. Other nodes may only change the status
+of a member to suspect or dead.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One process of the system, as it describes itself."""
+    """One process of the cluster, as described in its own member item."""
 
     name: str
     node_class: str
@@ -33,22 +34,22 @@
 
     @property
     def key(self) -> str:
-        """The key of its item. Two processes may share a machine, and its name."""
+        """The key of the member item. The name alone is no key: two processes may share a machine and its name."""
         return member_key(self.name, self.is_control)
 
 
 def member_key(name: str, is_control: bool) -> str:
-    """Return the key of the item of a machine's control or data-plane process."""
+    """Return the key of the member item of the control or data-plane process on the machine `name`."""
     return f"{name}/{'control' if is_control else 'data'}"
 
 
 def status_of(item: Item) -> MemberStatus:
-    """Return the status in a member item; one that is not known here is taken for the nearest below."""
+    """Return the status in a member item; a number above all known statuses counts as `LEFT`, the highest."""
     return MemberStatus(min(item.version.minor, int(MemberStatus.LEFT)))
 
 
 def member_item(member: Member, status: MemberStatus = MemberStatus.ALIVE) -> Item:
-    """Return the item that gives a member this status."""
+    """Return the member item with this status; a tombstone if the status is dead or left."""
     version = Version(member.incarnation, int(status))
     if status > MemberStatus.SUSPECT:
         return Item(ItemKind.MEMBER, member.key, version, deleted=True)
@@ -67,7 +68,7 @@
 
 
 def member_of(item: Item) -> Member | Failure:
-    """Return the member that an item describes, or a `Failure` where its payload cannot be read."""
+    """Return the member that an item describes, or a `Failure` if the item's payload is invalid."""
     try:
         record = MemberRecord.FromString(item.payload)
     except DecodeError as error:
--- a/canvasbeam/cluster/member_list.py
+++ b/canvasbeam/cluster/member_list.py
@@ -1,7 +1,8 @@
-"""The members as this node sees them, from their items and from its own monitoring.
+"""The list of members on this node, from the member items and from the node's own monitoring.
 
-What others say against a member counts only after a grace time. When a network partition heals, each side receives for
-a moment that all members of the other are suspect or dead, until they have refuted it.
+A status of suspect or dead that other nodes publish takes effect only after a grace period, because after a network
+partition heals, each side briefly receives such a status for all members of the other side, until these members have
+refuted the status.
 """
 
 from __future__ import annotations
@@ -19,22 +20,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedMember:
-    """A member, and its status as its item has it."""
+    """A member, and the status in its member item."""
 
     member: Member
     status: MemberStatus
 
 
 class MemberList:
-    """The members that are alive or suspect, or that others have called dead for less than the grace."""
+    """The members that are alive or suspect, and the members published as dead until their grace periods end."""
 
     def __init__(self) -> None:
         self._members: dict[str, Member] = {}
         self._statuses: dict[str, MemberStatus] = {}
-        self._contested: dict[str, int] = {}  # until when a member is listed in spite of what others say
+        self._contested: dict[str, int] = {}  # end of the grace period, by member key; nanoseconds
 
     def note(self, now: int, item: Item) -> None:
-        """Take a changed item of a member."""
+        """Update the list from a changed member item."""
         key, status = item.key, status_of(item)
         if status is MemberStatus.LEFT:
             self._forget(key)
@@ -54,7 +55,7 @@
         self._end_if_dead(key)
 
     def expire(self, now: int) -> bool:
-        """End the grace that is over; return whether a dead member left the list by it."""
+        """End the grace periods that are over; return True if a dead member was removed."""
         over = [key for key, until in self._contested.items() if until <= now]
         for key in over:
             del self._contested[key]
@@ -62,11 +63,11 @@
         return any(key not in self._members for key in over)
 
     def known(self) -> list[ListedMember]:
-        """Return all members, with their statuses."""
+        """Return all listed members, with their statuses."""
         return [ListedMember(member, self._statuses[key]) for key, member in self._members.items()]
 
     def alive(self, now: int, is_unresponsive: Callable[[str], bool]) -> tuple[Member, ...]:
-        """Return the members that are alive, not suspected, and not unresponsive to this node itself."""
+        """Return the members that are alive or within their grace period, and for which `is_unresponsive` is False."""
         return tuple(
             member for key, member in self._members.items() if self._is_listed(now, key) and not is_unresponsive(key)
         )
--- a/canvasbeam/cluster/node.py
+++ b/canvasbeam/cluster/node.py
@@ -1,4 +1,4 @@
-"""One node of the system: its item table, its links to other nodes, and its place among the members."""
+"""One node of the cluster: its item table, its connections to other nodes, and its membership."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ClusterNode:
-    """The part of a process that knows the other nodes and keeps the item table."""
+    """The cluster interface of a process: members, item distribution and transport, with sockets and a clock."""
 
     def __init__(self, settings: ProcessSettings, is_control: bool) -> None:
         self.is_control = is_control
@@ -42,7 +42,7 @@
         self._core = NodeCore(member, self._ports, settings.seed_peers, start)
         self.table: ItemTable = self._core.table
         self._writes: dict[int, asyncio.Future[None]] = {}
-        self._has_contact: bool | None = None  # as the log has it
+        self._has_contact: bool | None = None  # contact state logged last; None before the first contact
         self._timer: asyncio.TimerHandle | None = None
         self._next_idle_check = start.now + IDLE_CHECK_NS
         self._is_running = False
@@ -50,52 +50,52 @@
         self.transport.register_datagrams(self._on_datagram)
         self.transport.register_disconnects(self._on_disconnected)
 
-    # --- life -------------------------------------------------------------------------------------
+    # --- start and stop ---------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Listen, and look for the other nodes; raise `OSError` where the port is taken."""
+        """Listen and contact the seed nodes; raise `OSError` if the port is in use."""
         await self.transport.start()
         self._is_running = True
         self._core.begin(time.monotonic_ns())
         self._perform()
 
     async def stop(self) -> None:
-        """Close all connections at once. `leave` comes before, at a planned end."""
+        """Close all connections immediately; for a planned shutdown, call `leave` first."""
         self._is_running = False
         if self._timer is not None:
             self._timer.cancel()
         await self.transport.stop()
 
     def leave(self) -> None:
-        """Publish that this process ends."""
+        """Publish that this process is leaving the cluster."""
         self._core.leave(time.monotonic_ns())
         self._perform()
 
     def set_ready(self, ready: bool) -> None:
-        """Publish whether this process takes clients."""
+        """Publish whether this process accepts client requests."""
         self._core.set_ready(time.monotonic_ns(), ready)
         self._perform()
 
     def set_seeds(self, seeds: Iterable[Address]) -> None:
-        """Take the peer addresses of other seeds, from changed settings."""
+        """Replace the addresses of the seed nodes after a change of the settings."""
         self._core.distribution.set_seeds(time.monotonic_ns(), seeds)
 
     def set_electorates(self, electorates: Iterable[Iterable[str]]) -> None:
-        """Take the sets of IP addresses of control nodes, a majority of each of which must grant a contact lease."""
+        """Set the sets of IP addresses of control nodes; a contact lease needs grants from a majority of each set."""
         self._core.set_electorates(time.monotonic_ns(), electorates)
 
     # --- items ------------------------------------------------------------------------------------
 
     def publish(self, items: Iterable[Item]) -> list[Item]:
-        """Merge these items and bring them to all nodes; return those that were new."""
+        """Merge the items and distribute them to all nodes; return the items that were new."""
         taken = self._core.publish(time.monotonic_ns(), items)
         self._perform()
         return taken
 
     async def write(self, items: Iterable[Item], within_s: float) -> bool:
-        """Have a majority of the control nodes hold these items; return False where they have not confirmed it in time.
+        """Return True once a majority of the control nodes store the items, or False after `within_s` seconds.
 
-        Without items the result says whether this node is in contact, from the call on.
+        Without items, True means that a majority of the control nodes answered a request sent after the call.
         """
         number = self._core.begin_write(time.monotonic_ns(), items)
         self._writes[number] = written = asyncio.get_running_loop().create_future()
@@ -111,14 +111,14 @@
             self._core.end_write(number)
 
     def refresh(self, kind: ItemKind, key: str) -> None:
-        """Ask other nodes for a newer version of an item, without waiting for it."""
+        """Request a newer version of an item from other nodes, without waiting for the result."""
         self._core.distribution.refresh(kind, key)
         self._perform()
 
     # --- members ----------------------------------------------------------------------------------
 
     def members(self) -> tuple[Member, ...]:
-        """Return the members that are alive and not suspected, this process among them."""
+        """Return the members that are alive and not suspected, including this process."""
         return self._core.members(time.monotonic_ns())
 
     def control_nodes(self) -> tuple[Member, ...]:
@@ -126,39 +126,39 @@
         return tuple(member for member in self.members() if member.is_control)
 
     def peer_address(self, member: Member) -> Address:
-        """Return where a member takes messages of other nodes."""
+        """Return the address at which a member receives messages from other nodes."""
         return self._ports.address_of(member)
 
     def contact_age(self) -> int | None:
-        """Return the nanoseconds since the contact instant, by its own lease or its parents'; none before the first."""
+        """Return the age of the contact instant (own or relayed lease) in nanoseconds, or None before the first."""
         return self._core.contact_age(time.monotonic_ns())
 
     def has_recent_contact(self, within_ns: int) -> bool:
-        """Return whether the contact instant is within the last so many nanoseconds."""
+        """Return True if the contact instant is at most `within_ns` nanoseconds ago."""
         age = self.contact_age()
         return age is not None and age <= within_ns
 
     def has_majority(self) -> bool:
-        """Return whether this node's contact lease is in force."""
+        """Return True if this node's contact lease is in force."""
         return self._core.has_majority(time.monotonic_ns())
 
     @property
     def is_behind(self) -> bool:
-        """Whether a configuration is known of that is newer than the one held."""
+        """True if a newer configuration than the one stored on this node is known to exist."""
         return self._core.is_behind
 
     def has_recent_exchange(self) -> bool:
-        """Return whether any other node has answered a recent message of this control node."""
+        """Return True if any other node has answered a recent message of this control node."""
         return self._core.has_recent_exchange(time.monotonic_ns())
 
     @property
     def stale_answers(self) -> int:
-        """Answers to probes that came too late to count."""
+        """Number of probe answers that were ignored because they arrived too late."""
         return self._core.monitoring.stale_answers
 
     @property
     def parent(self) -> Address | None:
-        """The parent in the relay tree, where there is one."""
+        """The address of the parent in the relay tree; None without a parent."""
         parent = self._core.distribution.link.parent
         return parent.address if parent else None
 
@@ -191,7 +191,7 @@
             self._core.on_ping(now, sender, probe.number, claim, probe.life)
             self._perform()
 
-    # --- time and actions -------------------------------------------------------------------------
+    # --- timer and actions ------------------------------------------------------------------------
 
     def _tick(self) -> None:
         self._timer = None
@@ -204,7 +204,7 @@
         self._perform()
 
     def _perform(self) -> None:
-        """Send what the decisions ask for, and wake when they ask for it."""
+        """Execute the pending actions of the node core, complete finished writes, and schedule the next tick."""
         if not self._is_running:
             return
         for action in self._core.take_actions():
@@ -222,7 +222,7 @@
         self._schedule()
 
     def _log_contact(self, now: int) -> None:
-        """Log one line when contact with the control nodes ends, and one when it is back."""
+        """Log one line when contact with the control nodes is lost, and one line when contact is regained."""
         has_contact = self._core.has_majority(now)
         if has_contact == self._has_contact or (self._has_contact is None and not has_contact):
             return
--- a/canvasbeam/cluster/node_core.py
+++ b/canvasbeam/cluster/node_core.py
@@ -1,7 +1,7 @@
-"""What one node decides about items and members: distribution, monitoring and its own member item together.
+"""The decisions of one node about items and members: distribution, monitoring and the node's own member item.
 
-Pure: events and the time in whole nanoseconds in, actions out. `node.py` joins it to sockets and the clock, the tests
-to a simulated network.
+The module does no I/O: callers pass in events and the time in integer nanoseconds, and execute the returned actions.
+`node.py` connects the node core to sockets and the clock, the tests connect it to a simulated network.
 """
 
 from __future__ import annotations
@@ -31,24 +31,24 @@
 from canvasbeam.runtime.settings import Address
 from canvasbeam.units import MILLISECOND
 
-MEMBERS_DELAY_NS = 30 * MILLISECOND  # after which changed members are given to the decisions
+MEMBERS_DELAY_NS = 30 * MILLISECOND  # delay from a member change to its use by distribution and monitoring
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """The ports on which nodes take messages, the same on all machines."""
+    """The ports on which control and data-plane processes receive messages from nodes, the same on all machines."""
 
     control: int
     data: int
 
     def address_of(self, member: Member) -> Address:
-        """Return where a member takes messages of other nodes."""
+        """Return the address at which a member receives messages from other nodes."""
         return Address(member.ip, self.control if member.is_control else self.data)
 
 
 @dataclass(frozen=True, slots=True)
 class PingAnswer:
-    """Answer a ping of the process that is in this incarnation."""
+    """The action of answering a ping; `pinger_incarnation` is the incarnation of the process that sent the ping."""
 
     address: Address
     number: int
@@ -59,7 +59,7 @@
 
 
 class NodeCore:
-    """The decisions of one node."""
+    """The state and decisions of one node, without sockets or a clock."""
 
     def __init__(self, member: Member, ports: Ports, seeds: Iterable[Address], start: ProcessStart) -> None:
         self.table = ItemTable()
@@ -78,58 +78,62 @@
     # --- events -----------------------------------------------------------------------------------
 
     def begin(self, now: int) -> None:
-        """Publish our own member item."""
+        """Publish the member item of this node and run the first tick."""
         self.publish(now, [self.own.item()])
         self.tick(now)
 
     def publish(self, now: int, items: Iterable[Item]) -> list[Item]:
-        """Merge these items and bring them to all nodes; return those that were new."""
+        """Merge the items and distribute them to all nodes; return the items that were new."""
         self._now = now
         return self.distribution.publish(now, items)
 
     def set_electorates(self, now: int, electorates: Iterable[Iterable[str]]) -> None:
-        """Take the sets of IP addresses of control nodes, a majority of each of which must grant a contact lease."""
+        """Set the sets of IP addresses of control nodes; a contact lease needs grants from a majority of each set."""
         addresses = [[Address(ip, self._ports.control) for ip in electorate] for electorate in electorates]
         self.distribution.set_electorates(now, addresses)
 
     def begin_write(self, now: int, items: Iterable[Item]) -> int:
-        """Have a majority of the control nodes hold items; return the number for `is_written` and `end_write`."""
+        """Send items to the control nodes; return the write number for `is_written` and `end_write`."""
         self._now = now
         return self.distribution.begin_write(now, items)
 
     def is_written(self, number: int) -> bool:
-        """Return whether a majority of the control nodes hold the items of this write."""
+        """Return True if a majority of the control nodes store the items of this write."""
         return self.distribution.lease.is_written(number)
 
     def end_write(self, number: int) -> None:
-        """Forget a write that nobody waits for any more."""
+        """Drop the state of a write whose result is no longer needed."""
         self.distribution.lease.end_write(number)
 
     def set_ready(self, now: int, ready: bool) -> None:
-        """Publish whether this process takes clients."""
+        """Publish whether this process accepts client requests."""
         item = self.own.set_ready(ready)
         if item is not None:
             self.publish(now, [item])
 
     def leave(self, now: int) -> None:
-        """Publish that this process ends, without waiting for the next push."""
+        """Publish that this process is leaving the cluster, without waiting for the next push."""
         self.publish(now, [self.own.leave()])
         self.distribution.flush(now)
 
     def receive(self, now: int, sender: Address, message: Message) -> None:
-        """Take a message of another node."""
+        """Handle a message from another node."""
         self._now = now
         self.monitoring.on_message(now, sender)
         self.distribution.receive(now, sender, message)
 
     def on_disconnected(self, now: int, address: Address) -> None:
-        """Take the failure of the connection to a node."""
+        """Handle the failure of the connection to a node."""
         self.distribution.on_disconnected(now, address)
 
     def on_ping(
         self, now: int, sender: Address, number: int, claim: Version, pinger_incarnation: int = UNKNOWN_INCARNATION
     ) -> None:
-        """Answer the ping of a monitor; its claim is the version of our item that it holds, where that is not alive."""
+        """Answer a ping and refute a wrong status of this node.
+
+        `claim` is the sender's version of this node's member item. Its status is `ALIVE` unless the sender stores
+        another status of this node.
+        """
         self._now = now
         self.monitoring.on_received(now)
         if self.own.has_left:
@@ -139,11 +143,11 @@
             self._refute(claim)
 
     def on_answer(self, now: int, sender: Address, number: int) -> None:
-        """Take the answer of a member that we monitor."""
+        """Handle a ping answer from a monitored member."""
         self.monitoring.on_answer(now, sender, number)
 
     def tick(self, now: int) -> None:
-        """Do what is due."""
+        """Run all timed work that is due at `now`."""
         self._now = now
         if self._members.expire(now) or self._is_members_update_due(now):
             self._update_members(now)
@@ -155,41 +159,41 @@
                 self._actions.append(action)
 
     def take_actions(self) -> list[Action]:
-        """Return what is to be sent, once."""
+        """Return the pending actions and clear them."""
         actions, self._actions = [*self.distribution.take_actions(), *self._actions], []
         return actions
 
     def wake(self) -> int:
-        """Return when `tick` has something to do at the latest."""
+        """Return the latest time for the next call of `tick`, in nanoseconds."""
         wake = min(self.distribution.wake(), self.monitoring.wake())
         if self._members_changed_at is None:
             return wake
         return min(wake, self._members_changed_at + MEMBERS_DELAY_NS)
 
-    # --- what is known ----------------------------------------------------------------------------
+    # --- state ------------------------------------------------------------------------------------
 
     def members(self, now: int) -> tuple[Member, ...]:
-        """Return the members that are alive and not suspected, this one among them."""
+        """Return the members that are alive and not suspected, including this node."""
         return self._members.alive(now, self.monitoring.is_unresponsive)
 
     def contact_age(self, now: int) -> int | None:
-        """Return the nanoseconds since the contact instant, by its own lease or its parents'; none before the first."""
+        """Return the age of the contact instant (own or relayed lease) in nanoseconds, or None before the first."""
         return self.distribution.standing.contact_age(now)
 
     def has_majority(self, now: int) -> bool:
-        """Return whether the contact lease of this node is in force."""
+        """Return True if the contact lease of this node is in force."""
         instant = self.distribution.standing.contact_instant
         return contact_state(instant, now, self.parameters.contact_timeout_ns) is ContactState.CONFIRMED
 
     @property
     def is_behind(self) -> bool:
-        """Whether a configuration is known of that is newer than the one held."""
+        """True if a newer configuration than the one stored on this node is known to exist."""
         return self.distribution.documents.is_behind
 
     def has_recent_exchange(self, now: int) -> bool:
-        """Return whether any other node has answered a recent message of this control node.
+        """Return True if any other node has answered a recent message of this control node.
 
-        Not so for one that is cut off in either direction, nor right after its process stalled.
+        Return False if this node is partitioned in either direction, and right after its process stalled.
         """
         age = self.distribution.lease.exchange_age(now)
         return age is not None and age <= self.parameters.exchange_timeout_ns
@@ -197,7 +201,7 @@
     # --- members ----------------------------------------------------------------------------------
 
     def _on_items(self, items: Sequence[Item]) -> None:
-        """Take changed member items: keep the list, and refute a wrong status of our own."""
+        """Update the member list from changed member items, and refute a wrong status of this node."""
         changed = [item for item in items if item.kind is ItemKind.MEMBER]
         if not changed:
             return
@@ -218,7 +222,7 @@
         return self._members_changed_at is not None and now >= self._members_changed_at + MEMBERS_DELAY_NS
 
     def _update_members(self, now: int) -> None:
-        """Give the members to distribution and monitoring. Not at each change: when a fleet starts there are many."""
+        """Pass the members to distribution and monitoring, once for many changes: a fleet start causes many at once."""
         self._members_changed_at = None
         known = [
             KnownMember(self._location(listed.member), listed.member.incarnation, listed.status)
--- a/canvasbeam/cluster/own_member.py
+++ b/canvasbeam/cluster/own_member.py
@@ -1,4 +1,4 @@
-"""What this process publishes of itself: its member item, and the refutation of a wrong status."""
+"""The member item that this process publishes about itself, and the refutation of a wrong status."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class OwnMember:
-    """Our own member item.
+    """The member item of this process.
 
-    The first incarnation is drawn: an item of an earlier life has another version then, whichever is the higher. Where
-    the earlier one is, the refutation goes above it.
+    The first incarnation is random, so that the item has another version than the item of an earlier process with the
+    same key. If the earlier item has the higher version, the refutation uses a higher incarnation.
     """
 
     def __init__(self, member: Member, chance: random.Random) -> None:
@@ -24,23 +24,23 @@
         self.has_left = False
 
     def item(self) -> Item:
-        """Return our item as it is now."""
+        """Return the current member item of this process."""
         return member_item(self.member, MemberStatus.LEFT if self.has_left else MemberStatus.ALIVE)
 
     def set_ready(self, ready: bool) -> Item | None:
-        """Return the item that says whether this process takes clients; none where that is published already."""
+        """Return the item that publishes whether this process accepts client requests; None if unchanged."""
         if ready == self.member.ready or self.has_left:
             return None
         self._advance(self.member.incarnation, ready)
         return self.item()
 
     def leave(self) -> Item:
-        """Publish the planned end; nothing is refuted after this."""
+        """Return the item that publishes a planned shutdown; later claims are not refuted."""
         self.has_left = True
         return self.item()
 
     def refute(self, version: Version) -> Item | None:
-        """Return the item that refutes what another node says of us; none where it is what we published."""
+        """Return the item that refutes a newer version from another node; None if it is not newer, or after `leave`."""
         own = self.item().version
         if self.has_left or version <= own:
             return None
@@ -48,9 +48,9 @@
         return self.item()
 
     def is_own(self, item: Item) -> bool:
-        """Return whether an item describes this process."""
+        """Return True if `item` is the member item of this process."""
         return item.kind is ItemKind.MEMBER and item.key == self.member.key
 
     def _advance(self, incarnation: int, ready: bool) -> None:
-        """Change what is published, as a new incarnation; the one place that does."""
+        """Set the readiness, and the incarnation to `incarnation + 1`; the only method that changes `member`."""
         self.member = replace(self.member, incarnation=incarnation + 1, ready=ready)
--- a/canvasbeam/cluster/peer_link.py
+++ b/canvasbeam/cluster/peer_link.py
@@ -1,13 +1,14 @@
-"""The way to one other node: its connection, the messages that wait for one, and the backoff between attempts.
+"""The link to one other node: its connection, the queue of unsent messages, and the backoff between attempts.
 
 | state | from | to |
 | --- | --- | --- |
-| idle | the start; nothing was sent for long | connecting: a message to send; connected: it connected to us |
-| connecting | | connected: the peer accepted; waiting: it did not in time |
-| connected | | waiting: the connection failed |
-| waiting | | connecting: the backoff is over; connected: it connected to us |
+| idle | creation; idle timeout | connecting: a message is sent; connected: the peer opened a connection |
+| connecting | | connected: this node or the peer opened a connection; waiting: the attempt failed or timed out |
+| connected | | waiting: the connection failed; idle: it was closed after the idle timeout |
+| waiting | | connecting or idle: the backoff is over, or a datagram arrived; connected: the peer opened a connection |
 
-Messages wait while connecting only, and are dropped when the attempt fails: whoever needs one delivered sends it again.
+Messages are queued only until a connection attempt ends, and a failed attempt drops the queue: delivery is best effort,
+and a sender that needs delivery must retry.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 class PeerState(IntEnum):
-    """Whether messages can go to a peer now."""
+    """The state of the link to a peer; the module docstring has the transitions."""
 
     IDLE = 0
     CONNECTING = 1
@@ -39,36 +40,36 @@
 
 @dataclass(slots=True)
 class TransportCounters:
-    """What was dropped, and why."""
+    """Numbers of dropped messages, by cause."""
 
-    invalid: int = 0  # not understood, too large, or of another protocol
-    overflowed: int = 0  # the queue to a peer was full, or its connection was ending
-    lost: int = 0  # still unsent when the connection failed
-    other_incarnation: int = 0  # still unsent when the peer was found to be in another incarnation
+    invalid: int = 0  # received input that was malformed, too large, or of another protocol or an unknown channel
+    overflowed: int = 0  # not sent: the queue to the peer was full, or its connection was closing
+    lost: int = 0  # still queued when the connection or the connection attempt failed
+    other_incarnation: int = 0  # still queued when the peer was found to have another incarnation
 
 
 class PeerOwner(Protocol):
-    """What the way to a peer needs of the transport."""
+    """The part of the transport that a peer link uses."""
 
     counters: TransportCounters
 
     async def connect(self, address: Address) -> Connection | None:
-        """Open a connection; return none where it does not come up in time."""
+        """Open a connection; return None if the attempt fails or times out."""
 
     def spawn(self, work: Coroutine[object, object, None]) -> asyncio.Task[None]:
-        """Run a coroutine until it ends or the transport stops."""
+        """Run a coroutine as a task, which is cancelled when the transport stops."""
 
     def on_disconnected(self, address: Address) -> None:
-        """Report that a connection failed, or could not be opened."""
+        """Report that a connection to `address` failed or could not be opened."""
 
 
 class PeerLink:
-    """The way to one address: its connection, what waits for one, and when the next attempt is made."""
+    """The link to one address: its connection, the queue of unsent messages, and the backoff between attempts."""
 
     def __init__(self, address: Address, owner: PeerOwner) -> None:
         self.address = address
         self.state = PeerState.IDLE
-        self.incarnation = UNKNOWN_INCARNATION  # of the process that was there last
+        self.incarnation = UNKNOWN_INCARNATION  # incarnation of the last process that was seen at the address
         self._owner = owner
         self._connection: Connection | None = None
         self._queue: deque[bytes] = deque()
@@ -77,7 +78,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def send(self, data: bytes) -> None:
-        """Write to the connection, or queue until there is one."""
+        """Write to the connection, or queue the message until a connection is established."""
         if self.state is PeerState.CONNECTED:
             self._write(data)
             return
@@ -90,21 +91,21 @@
             self._enter(PeerState.CONNECTING)
 
     def adopt(self, connection: Connection) -> None:
-        """Use this connection, the newest, from now on: an older one may lead to a process that is gone."""
+        """Replace the connection by this newer one, because the process behind an older connection may be gone."""
         self._connection = connection
         if connection.peer is not None:
             self.meet(connection.peer.incarnation)
         self._enter(PeerState.CONNECTED)
 
     def meet(self, incarnation: int) -> None:
-        """Take the incarnation of the process at this address; what waits for an earlier one is dropped."""
+        """Set the incarnation of the process at this address, and drop messages queued for another incarnation."""
         if self.incarnation not in (UNKNOWN_INCARNATION, incarnation):
             self._owner.counters.other_incarnation += len(self._queue)
             self._clear_queue()
         self.incarnation = incarnation
 
     def closed(self, connection: Connection) -> None:
-        """Note that a connection ended; one that was replaced is ignored."""
+        """Handle the end of a connection; ignore a connection that was replaced."""
         if connection is self._connection:
             self._connection = None
             if connection.is_idle_closed:
@@ -114,17 +115,17 @@
             self._owner.on_disconnected(self.address)
 
     def retry_now(self) -> None:
-        """End a backoff, because a datagram of the peer was received."""
+        """End the backoff, because a datagram from the peer was received."""
         if self.state is PeerState.WAITING:
             self._failures = 0
             self._enter(PeerState.CONNECTING if self._queue else PeerState.IDLE)
 
     def close(self) -> None:
-        """Stop trying."""
+        """Cancel the connection attempt or the backoff."""
         self._cancel()
 
     def _enter(self, state: PeerState) -> None:
-        """Enter a state; the one place that does."""
+        """Change the state and start its task; only this method changes the state."""
         self._cancel()
         self.state = state
         if state is PeerState.CONNECTING:
@@ -158,7 +159,7 @@
         self._enter(PeerState.CONNECTING if self._queue else PeerState.IDLE)
 
     def _drop_queue(self) -> None:
-        """Drop what could not be sent: it is outdated by the time that the peer is back."""
+        """Drop the queued messages, because they would be outdated when the peer is reachable again."""
         self._owner.counters.lost += len(self._queue)
         self._clear_queue()
 
--- a/canvasbeam/cluster/transport.py
+++ b/canvasbeam/cluster/transport.py
@@ -1,10 +1,11 @@
-"""Messages between nodes: framed TCP, and small datagrams on the same port number.
+"""Messages between nodes: framed TCP, and small UDP datagrams on the same port number.
 
-`send` is best effort, in order on one connection, and never waits. A connection is opened at the first message and
-carries messages both ways. What a cut link holds up is given up soon: whoever needs it delivered sends it again.
+`send` never blocks. Delivery is best effort, in order on one connection. The first message to a peer opens a
+connection, which carries messages in both directions. Messages delayed by a broken link are soon dropped, so a sender
+that needs delivery must retry.
 
-The state of the way to each peer is in `peer_link.py`, one connection in `connection.py`, the UDP socket in
-`datagrams.py`. The transport owns them all, and must never look into what it carries.
+The state of the link to each peer is in `peer_link.py`, one connection in `connection.py`, the UDP socket in
+`datagrams.py`. The transport owns all links, connections and sockets. It must never parse the payload of a message.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 
 
 class Transport:
-    """All connections of one node."""
+    """All connections and the UDP socket of one node."""
 
     def __init__(self, node: str, listen: Address) -> None:
         self.listen = listen
@@ -58,17 +59,17 @@
         self._server: asyncio.Server | None = None
         self._datagrams: asyncio.DatagramTransport | None = None
 
-    # --- what the rest of the program uses --------------------------------------------------------
+    # --- public interface -------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Listen for TCP and UDP; raise `OSError` where the port is taken."""
+        """Listen for TCP and UDP; raise `OSError` if the port is in use."""
         loop = asyncio.get_running_loop()
         host, port = self.listen.host, self.listen.port
         self._server = await loop.create_server(lambda: Connection(self, None), host, port, backlog=LISTEN_BACKLOG)
         self._datagrams, _ = await loop.create_datagram_endpoint(lambda: DatagramSocket(self.on_datagram), (host, port))
 
     async def stop(self) -> None:
-        """Close everything at once."""
+        """Close all sockets immediately and cancel all tasks."""
         if self._server is not None:
             self._server.close()
         if self._datagrams is not None:
@@ -84,44 +85,44 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def register(self, channel: Channel, callback: MessageCallback) -> None:
-        """Give the messages of a channel to this function."""
+        """Set the callback for the messages of a channel."""
         self._callbacks[int(channel)] = callback
 
     def register_datagrams(self, callback: DatagramCallback, channel: Channel = Channel.MEMBERSHIP) -> None:
-        """Give the datagrams of a channel to this function."""
+        """Set the callback for the datagrams of a channel."""
         self._datagram_callbacks[int(channel)] = callback
 
     def register_disconnects(self, callback: DisconnectCallback) -> None:
-        """Call this function with each address whose connection failed or could not be opened."""
+        """Set the callback for each address to which a connection failed or could not be opened."""
         self._disconnect_callback = callback
 
     def send(self, address: Address, channel: Channel, payload: bytes) -> None:
-        """Send one message, if that can be done."""
+        """Send one message, best effort."""
         self.send_to_many((address,), channel, payload)
 
     def send_to_many(self, addresses: Iterable[Address], channel: Channel, payload: bytes) -> None:
-        """Send the same message to several peers; it is encoded once."""
+        """Send the same message, encoded once, to several peers."""
         data = frame(envelope_pb2.Frame(channel=int(channel), payload=payload).SerializeToString())  # type: ignore[arg-type]
         for address in addresses:
             self._peer(address).send(data)
 
     def send_datagram(self, address: Address, payload: bytes, channel: Channel = Channel.MEMBERSHIP) -> None:
-        """Send one datagram, which may be lost."""
+        """Send one datagram, best effort."""
         if self._datagrams is not None and not self._datagrams.is_closing():
             self._datagrams.sendto(add_channel(payload, channel), (address.host, address.port))
 
     def close_idle(self) -> None:
-        """Close the connections that have carried nothing for a while, and forget idle peers; called now and then."""
+        """Close connections unused for `IDLE_TIMEOUT_S` seconds and remove idle peers; called periodically."""
         since = self.time() - IDLE_TIMEOUT_S
         for connection in tuple(self._connections):
             connection.close_if_idle(since)
         for address in [address for address, peer in self._peers.items() if peer.state is PeerState.IDLE]:
             del self._peers[address]
 
-    # --- what the connections use -----------------------------------------------------------------
+    # --- callbacks for connections and peer links -------------------------------------------------
 
     def hello(self, expected_incarnation: int) -> bytes:
-        """Return the introduction to a process that is expected to be in this incarnation."""
+        """Return the framed `Hello` message for a peer that is expected to have this incarnation."""
         hello = envelope_pb2.Hello(
             magic=MAGIC,
             protocol_version=PROTOCOL_VERSION,
@@ -133,11 +134,11 @@
         return frame(hello.SerializeToString())
 
     def on_open(self, connection: Connection) -> None:
-        """Note a connection that came up."""
+        """Register a connection that was established."""
         self._connections.add(connection)
 
     def on_introduced(self, connection: Connection) -> None:
-        """Note that the other side has said who it is; what we send to it may use its connection."""
+        """Update the peer's link after its `Hello` message; the link uses a connection that the peer opened."""
         if connection.peer is None:
             return
         peer = self._peer(connection.peer.address)
@@ -147,7 +148,7 @@
             peer.meet(connection.peer.incarnation)
 
     def on_closed(self, connection: Connection) -> None:
-        """Note a connection that ended."""
+        """Unregister a connection that was closed, and update its peer link."""
         self._connections.discard(connection)
         address = connection.expected or (connection.peer.address if connection.peer else None)
         peer = self._peers.get(address) if address else None
@@ -155,20 +156,20 @@
             peer.closed(connection)
 
     def on_disconnected(self, address: Address) -> None:
-        """Report that a connection failed, or could not be opened."""
+        """Report that a connection to `address` failed or could not be opened."""
         if self._disconnect_callback is not None:
             self._disconnect_callback(address)
 
     def on_rejected(self) -> None:
-        """Count input that was not understood."""
+        """Count invalid input from a peer."""
         self.counters.invalid += 1
 
     def time(self) -> float:
-        """Return the time of the event loop, in seconds."""
+        """Return the event loop's time, in seconds."""
         return asyncio.get_running_loop().time()
 
     def on_frame(self, sender: PeerInfo, channel: int, payload: bytes) -> None:
-        """Pass on a message."""
+        """Pass a message to the callback of its channel; count a message of an unknown channel."""
         callback = self._callbacks.get(channel)
         if callback is None:
             self.counters.invalid += 1
@@ -176,7 +177,7 @@
             callback(sender, payload)
 
     def on_datagram(self, sender: Address, payload: bytes) -> None:
-        """Pass on a datagram."""
+        """Pass a datagram to the callback of its channel, and end the backoff of its sender's link."""
         peer = self._peers.get(sender)
         if peer is not None:
             peer.retry_now()
@@ -188,7 +189,7 @@
             callback(sender, content)
 
     async def connect(self, address: Address) -> Connection | None:
-        """Open a connection from our own address; return none where it does not come up in time."""
+        """Open a connection from this node's own address; return None if the attempt fails or times out."""
         loop = asyncio.get_running_loop()
         incarnation = self._peer(address).incarnation
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -207,7 +208,7 @@
         return connection
 
     def spawn(self, work: Coroutine[object, object, None]) -> asyncio.Task[None]:
-        """Run a coroutine until it ends or the transport stops."""
+        """Run a coroutine as a task, which is cancelled when the transport stops."""
         task: asyncio.Task[None] = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/canvasbeam/cluster/worker_items.py
+++ b/canvasbeam/cluster/worker_items.py
@@ -1,4 +1,4 @@
-"""A worker as an item of the table, and back."""
+"""Conversion between workers and items of the item table."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def worker_item(publication: Publication) -> Item:
-    """Return the item that describes a worker; a tombstone for one that left."""
+    """Return the item that describes a worker, or a tombstone if the worker has left."""
     version = Version(publication.version.sequence, publication.version.revision)
     worker = publication.worker
     if worker is None:
@@ -20,7 +20,7 @@
 
 
 def publication_of(item: Item) -> Publication | Failure:
-    """Return the publication of an item, or a `Failure` where its payload cannot be read."""
+    """Return the publication in a worker item, or a `Failure` if the item's payload is invalid."""
     version = WorkerVersion(item.version.major, item.version.minor)
     if item.deleted:
         return Publication(item.key, version, None)
@@ -29,7 +29,7 @@
 
 
 def encode_worker(worker: Worker) -> bytes:
-    """Return the payload of a worker's item."""
+    """Return the payload of a worker item."""
     record = WorkerRecord(
         service=worker.service,
         address=worker.address,
@@ -49,7 +49,7 @@
 
 
 def worker_of(item: Item) -> Worker | Failure:
-    """Return the worker of an item that is not deleted, or a `Failure`; its times count from the item's publication."""
+    """Return the worker in an item that is not deleted, or a `Failure`; its times count from the item's publication."""
     try:
         record = WorkerRecord.FromString(item.payload)
         state = WorkerState(record.state)
