--- a/canvasbeam/cluster/connection.py
+++ b/canvasbeam/cluster/connection.py
@@ -55,7 +55,7 @@
     def on_open(self, connection: Connection) -> None:
         """Register a connection that was established."""
 
-    def on_introduced(self, connection: Connection) -> None:
+    def on_hello(self, connection: Connection) -> None:
         """Handle the arrival of the peer's `Hello` message on this connection."""
 
     def on_closed(self, connection: Connection) -> None:
@@ -72,10 +72,10 @@
     """One TCP connection, opened by either side."""
 
     def __init__(
-        self, owner: ConnectionOwner, expected: Address | None, expected_incarnation: int = UNKNOWN_INCARNATION
+        self, owner: ConnectionOwner, dialed_address: Address | None, expected_incarnation: int = UNKNOWN_INCARNATION
     ) -> None:
         self.owner = owner
-        self.expected = expected  # address to which this node connected; None for an accepted connection
+        self.dialed_address = dialed_address  # address to which this node connected; None for an accepted connection
         self.expected_incarnation = expected_incarnation
         # Incarnation of this process to which the peer addresses its frames.
         self._addressed_incarnation = UNKNOWN_INCARNATION
@@ -98,7 +98,7 @@
         self.used_at = self.owner.time()
         try:
             for message in self._decoder.feed(data):
-                if not self._take(message):
+                if not self._handle_message(message):
                     self._reject()
                     return
         except (FrameTooLargeError, DecodeError):
@@ -128,9 +128,9 @@
             self.is_idle_closed = True
             self.transport.close()
 
-    def _take(self, message: bytes) -> bool:
+    def _handle_message(self, message: bytes) -> bool:
         if self.peer is None:
-            return self._take_hello(message)
+            return self._handle_hello(message)
         received = envelope_pb2.Frame.FromString(message)
         if received.addressed_life:
             self._addressed_incarnation = received.addressed_life
@@ -138,7 +138,7 @@
             self.owner.on_frame(self.peer, received.channel, received.payload)
         return True
 
-    def _take_hello(self, message: bytes) -> bool:
+    def _handle_hello(self, message: bytes) -> bool:
         hello = envelope_pb2.Hello.FromString(message)
         if hello.magic != MAGIC or hello.protocol_version != PROTOCOL_VERSION or not 0 < hello.listen_port < 65536:
             return False
@@ -146,12 +146,12 @@
         peername = self.transport.get_extra_info("peername")
         if peername is None:
             return False
-        self.peer = PeerInfo(hello.node, self.expected or Address(peername[0], hello.listen_port), hello.life)
+        self.peer = PeerInfo(hello.node, self.dialed_address or Address(peername[0], hello.listen_port), hello.life)
         self._addressed_incarnation = hello.expected_life
         if self.expected_incarnation not in (UNKNOWN_INCARNATION, hello.life):
             correction = envelope_pb2.Frame(addressed_life=hello.life)
             self.transport.write(frame(correction.SerializeToString()))
-        self.owner.on_introduced(self)
+        self.owner.on_hello(self)
         return True
 
     def _reject(self) -> None:
--- a/canvasbeam/cluster/datagrams.py
+++ b/canvasbeam/cluster/datagrams.py
@@ -13,10 +13,10 @@
 from canvasbeam.runtime.settings import Address
 
 MAX_DATAGRAM_BYTES = 1_200
-TAG_BITS = 5  # number of low bits of the tag byte that hold `TAG_END`; the higher bits hold the channel
+TAG_MARKER_BITS = 5  # number of low bits of the tag byte that hold `TAG_MARKER`; the higher bits hold the channel
 # Low bits of a tag byte. No protobuf message begins with these bits (wire type 7 is invalid), so a tagged datagram is
 # never mistaken for a membership datagram, which is an untagged protobuf message.
-TAG_END = 0b00111
+TAG_MARKER = 0b00111
 
 ReceivedDatagram = Callable[[Address, bytes], None]
 
@@ -36,11 +36,11 @@
     """Return the bytes of a datagram: the payload, after a tag byte unless the channel is `MEMBERSHIP`."""
     if channel is Channel.MEMBERSHIP:
         return payload
-    return bytes(((int(channel) << TAG_BITS | TAG_END) & 0xFF,)) + payload
+    return bytes(((int(channel) << TAG_MARKER_BITS | TAG_MARKER) & 0xFF,)) + payload
 
 
 def split_channel(data: bytes) -> tuple[int, bytes]:
     """Return the channel number and the payload of a received datagram."""
-    if data and data[0] & (1 << TAG_BITS) - 1 == TAG_END:
-        return data[0] >> TAG_BITS, data[1:]
+    if data and data[0] & (1 << TAG_MARKER_BITS) - 1 == TAG_MARKER:
+        return data[0] >> TAG_MARKER_BITS, data[1:]
     return int(Channel.MEMBERSHIP), data
--- a/canvasbeam/cluster/member_list.py
+++ b/canvasbeam/cluster/member_list.py
@@ -15,7 +15,7 @@
 from canvasbeam.failure_detection.member_status import MemberStatus
 from canvasbeam.item_table.items import Item
 
-HEARSAY_GRACE_NS = 400_000_000
+STATUS_GRACE_NS = 400_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,9 +32,9 @@
     def __init__(self) -> None:
         self._members: dict[str, Member] = {}
         self._statuses: dict[str, MemberStatus] = {}
-        self._contested: dict[str, int] = {}  # end of the grace period, by member key; nanoseconds
+        self._grace_ends: dict[str, int] = {}  # end of the grace period, by member key; nanoseconds
 
-    def note(self, now: int, item: Item) -> None:
+    def apply(self, now: int, item: Item) -> None:
         """Update the list from a changed member item."""
         key, status = item.key, status_of(item)
         if status is MemberStatus.LEFT:
@@ -48,19 +48,19 @@
         if key not in self._members:
             return
         if status is MemberStatus.ALIVE:
-            self._contested.pop(key, None)
+            self._grace_ends.pop(key, None)
         elif self._statuses.get(key, MemberStatus.ALIVE) is MemberStatus.ALIVE:
-            self._contested[key] = now + HEARSAY_GRACE_NS
+            self._grace_ends[key] = now + STATUS_GRACE_NS
         self._statuses[key] = status
-        self._end_if_dead(key)
+        self._remove_if_dead(key)
 
     def expire(self, now: int) -> bool:
         """End the grace periods that are over; return True if a dead member was removed."""
-        over = [key for key, until in self._contested.items() if until <= now]
-        for key in over:
-            del self._contested[key]
-            self._end_if_dead(key)
-        return any(key not in self._members for key in over)
+        expired = [key for key, until in self._grace_ends.items() if until <= now]
+        for key in expired:
+            del self._grace_ends[key]
+            self._remove_if_dead(key)
+        return any(key not in self._members for key in expired)
 
     def known(self) -> list[ListedMember]:
         """Return all listed members, with their statuses."""
@@ -73,13 +73,13 @@
         )
 
     def _is_listed(self, now: int, key: str) -> bool:
-        return self._statuses[key] is MemberStatus.ALIVE or self._contested.get(key, 0) > now
+        return self._statuses[key] is MemberStatus.ALIVE or self._grace_ends.get(key, 0) > now
 
-    def _end_if_dead(self, key: str) -> None:
-        if self._statuses[key] is MemberStatus.DEAD and key not in self._contested:
+    def _remove_if_dead(self, key: str) -> None:
+        if self._statuses[key] is MemberStatus.DEAD and key not in self._grace_ends:
             self._forget(key)
 
     def _forget(self, key: str) -> None:
         self._members.pop(key, None)
         self._statuses.pop(key, None)
-        self._contested.pop(key, None)
+        self._grace_ends.pop(key, None)
--- a/canvasbeam/cluster/node.py
+++ b/canvasbeam/cluster/node.py
@@ -42,7 +42,7 @@
         self._core = NodeCore(member, self._ports, settings.seed_peers, start)
         self.table: ItemTable = self._core.table
         self._writes: dict[int, asyncio.Future[None]] = {}
-        self._has_contact: bool | None = None  # contact state logged last; None before the first contact
+        self._logged_contact: bool | None = None  # contact state logged last; None before the first contact
         self._timer: asyncio.TimerHandle | None = None
         self._next_idle_check = start.now + IDLE_CHECK_NS
         self._is_running = False
@@ -88,9 +88,9 @@
 
     def publish(self, items: Iterable[Item]) -> list[Item]:
         """Merge the items and distribute them to all nodes; return the items that were new."""
-        taken = self._core.publish(time.monotonic_ns(), items)
+        new_items = self._core.publish(time.monotonic_ns(), items)
         self._perform()
-        return taken
+        return new_items
 
     async def write(self, items: Iterable[Item], within_s: float) -> bool:
         """Return True once a majority of the control nodes store the items, or False after `within_s` seconds.
@@ -224,16 +224,16 @@
     def _log_contact(self, now: int) -> None:
         """Log one line when contact with the control nodes is lost, and one line when contact is regained."""
         has_contact = self._core.has_majority(now)
-        if has_contact == self._has_contact or (self._has_contact is None and not has_contact):
+        if has_contact == self._logged_contact or (self._logged_contact is None and not has_contact):
             return
-        if self._has_contact is not None:
+        if self._logged_contact is not None:
             versions = ControlVersions.of(self.table)
-            held = f"configuration={versions.configuration} evacuations={versions.evacuations}"
+            versions_text = f"configuration={versions.configuration} evacuations={versions.evacuations}"
             if has_contact:
-                log.info("contact regained {}", held)
+                log.info("contact regained {}", versions_text)
             else:
-                log.warning("contact lost {}", held)
-        self._has_contact = has_contact
+                log.warning("contact lost {}", versions_text)
+        self._logged_contact = has_contact
 
     def _send_ping(self, ping: SendPing) -> None:
         message = membership_pb2.Probe(number=ping.number, life=self.transport.incarnation_check.incarnation)
@@ -244,12 +244,12 @@
     def _schedule(self) -> None:
         loop = asyncio.get_running_loop()
         wait = (self._core.wake() - time.monotonic_ns()) * SECONDS_PER_NANOSECOND
-        when = loop.time() + max(wait, MIN_WAIT_S)
+        wake_at = loop.time() + max(wait, MIN_WAIT_S)
         if self._timer is not None:
-            if self._timer.when() <= when:
+            if self._timer.when() <= wake_at:
                 return
             self._timer.cancel()
-        self._timer = loop.call_at(when, self._tick)
+        self._timer = loop.call_at(wake_at, self._tick)
 
 
 def _own_member(settings: ProcessSettings, is_control: bool) -> Member:
--- a/canvasbeam/cluster/node_core.py
+++ b/canvasbeam/cluster/node_core.py
@@ -66,9 +66,9 @@
         self.own = OwnMember(member, random.Random(start.seed))
         self.parameters = DistributionParameters()
         self._ports = ports
-        me = self._location(member)
-        self.distribution = Distribution(me, seeds, self.table, self.parameters, start)
-        self.monitoring = Monitoring(me, MonitoringParameters(), start.now)
+        own_location = self._location(member)
+        self.distribution = Distribution(own_location, seeds, self.table, self.parameters, start)
+        self.monitoring = Monitoring(own_location, MonitoringParameters(), start.now)
         self._members = MemberList()
         self._members_changed_at: int | None = None
         self._now = start.now
@@ -206,7 +206,7 @@
         if not changed:
             return
         for item in changed:
-            self._members.note(self._now, item)
+            self._members.apply(self._now, item)
         if self._members_changed_at is None:
             self._members_changed_at = self._now
         for item in changed:
--- a/canvasbeam/cluster/own_member.py
+++ b/canvasbeam/cluster/own_member.py
@@ -19,8 +19,8 @@
     same key. If the earlier item has the higher version, the refutation uses a higher incarnation.
     """
 
-    def __init__(self, member: Member, chance: random.Random) -> None:
-        self.member = replace(member, incarnation=chance.randrange(1, MAX_FIRST_INCARNATION))
+    def __init__(self, member: Member, rng: random.Random) -> None:
+        self.member = replace(member, incarnation=rng.randrange(1, MAX_FIRST_INCARNATION))
         self.has_left = False
 
     def item(self) -> Item:
--- a/canvasbeam/cluster/peer_link.py
+++ b/canvasbeam/cluster/peer_link.py
@@ -90,21 +90,21 @@
         if self.state is PeerState.IDLE:
             self._enter(PeerState.CONNECTING)
 
-    def adopt(self, connection: Connection) -> None:
+    def use_connection(self, connection: Connection) -> None:
         """Replace the connection by this newer one, because the process behind an older connection may be gone."""
         self._connection = connection
         if connection.peer is not None:
-            self.meet(connection.peer.incarnation)
+            self.set_incarnation(connection.peer.incarnation)
         self._enter(PeerState.CONNECTED)
 
-    def meet(self, incarnation: int) -> None:
+    def set_incarnation(self, incarnation: int) -> None:
         """Set the incarnation of the process at this address, and drop messages queued for another incarnation."""
         if self.incarnation not in (UNKNOWN_INCARNATION, incarnation):
             self._owner.counters.other_incarnation += len(self._queue)
             self._clear_queue()
         self.incarnation = incarnation
 
-    def closed(self, connection: Connection) -> None:
+    def on_closed(self, connection: Connection) -> None:
         """Handle the end of a connection; ignore a connection that was replaced."""
         if connection is self._connection:
             self._connection = None
@@ -150,11 +150,11 @@
             self._enter(PeerState.WAITING)
             self._owner.on_disconnected(self.address)
         else:
-            self.adopt(connection)
+            self.use_connection(connection)
 
     async def _back_off(self) -> None:
-        most = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2 ** min(self._failures - 1, 8))
-        await asyncio.sleep(most * (0.5 + random.random() / 2))
+        max_wait_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2 ** min(self._failures - 1, 8))
+        await asyncio.sleep(max_wait_s * (0.5 + random.random() / 2))
         self._task = None
         self._enter(PeerState.CONNECTING if self._queue else PeerState.IDLE)
 
--- a/canvasbeam/cluster/transport.py
+++ b/canvasbeam/cluster/transport.py
@@ -137,23 +137,23 @@
         """Register a connection that was established."""
         self._connections.add(connection)
 
-    def on_introduced(self, connection: Connection) -> None:
+    def on_hello(self, connection: Connection) -> None:
         """Update the peer's link after its `Hello` message; the link uses a connection that the peer opened."""
         if connection.peer is None:
             return
         peer = self._peer(connection.peer.address)
-        if connection.expected is None:
-            peer.adopt(connection)
+        if connection.dialed_address is None:
+            peer.use_connection(connection)
         else:
-            peer.meet(connection.peer.incarnation)
+            peer.set_incarnation(connection.peer.incarnation)
 
     def on_closed(self, connection: Connection) -> None:
         """Unregister a connection that was closed, and update its peer link."""
         self._connections.discard(connection)
-        address = connection.expected or (connection.peer.address if connection.peer else None)
+        address = connection.dialed_address or (connection.peer.address if connection.peer else None)
         peer = self._peers.get(address) if address else None
         if peer is not None:
-            peer.closed(connection)
+            peer.on_closed(connection)
 
     def on_disconnected(self, address: Address) -> None:
         """Report that a connection to `address` failed or could not be opened."""
