--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -289,7 +289,7 @@
         self.nodes = {PORTS.address_of(member): self._node(member, seeds) for member in members}
         self.controls = [node for node in self.nodes.values() if node.is_control]
         self.edges = [node for node in self.nodes.values() if not node.is_control]
-        first = [node.core.own.item() for node in self.nodes.values()]
+        first = [node.core.own_member.item() for node in self.nodes.values()]
         first += [worker_item(worker_publication(number, 1)) for number in range(workers)]
         for node in self.nodes.values():
             node.core.table.merge(first)
--- a/canvasbeam/cluster/node_core.py
+++ b/canvasbeam/cluster/node_core.py
@@ -63,7 +63,7 @@
 
     def __init__(self, member: Member, ports: Ports, seeds: Iterable[Address], start: ProcessStart) -> None:
         self.table = ItemTable()
-        self.own = OwnMember(member, random.Random(start.seed))
+        self.own_member = OwnMember(member, random.Random(start.seed))
         self.parameters = DistributionParameters()
         self._ports = ports
         own_location = self._location(member)
@@ -79,7 +79,7 @@
 
     def begin(self, now: int) -> None:
         """Publish the member item of this node and run the first tick."""
-        self.publish(now, [self.own.item()])
+        self.publish(now, [self.own_member.item()])
         self.tick(now)
 
     def publish(self, now: int, items: Iterable[Item]) -> list[Item]:
@@ -107,13 +107,13 @@
 
     def set_ready(self, now: int, ready: bool) -> None:
         """Publish whether this process accepts client requests."""
-        item = self.own.set_ready(ready)
+        item = self.own_member.set_ready(ready)
         if item is not None:
             self.publish(now, [item])
 
     def leave(self, now: int) -> None:
         """Publish that this process is leaving the cluster, without waiting for the next push."""
-        self.publish(now, [self.own.leave()])
+        self.publish(now, [self.own_member.leave()])
         self.distribution.flush(now)
 
     def receive(self, now: int, sender: Address, message: Message) -> None:
@@ -136,7 +136,7 @@
         """
         self._now = now
         self.monitoring.on_received(now)
-        if self.own.has_left:
+        if self.own_member.has_left:
             return
         self._actions.append(PingAnswer(sender, number, pinger_incarnation))
         if claim.minor:
@@ -210,11 +210,11 @@
         if self._members_changed_at is None:
             self._members_changed_at = self._now
         for item in changed:
-            if self.own.is_own(item):
+            if self.own_member.is_own(item):
                 self._refute(item.version)
 
     def _refute(self, claim: Version) -> None:
-        refutation = self.own.refute(claim)
+        refutation = self.own_member.refute(claim)
         if refutation is not None:
             self.publish(self._now, [refutation])
 
--- a/tests/distribution/test_cluster_tree.py
+++ b/tests/distribution/test_cluster_tree.py
@@ -205,14 +205,14 @@
     network, controls, edges = small_fleet()
     parent = parent_of(network, edges[0])
     others = [host for host in network.running() if host is not edges[0]]
-    before = [other.core.own.member.incarnation for other in others]
+    before = [other.core.own_member.member.incarnation for other in others]
     network.freeze(edges[0], 3 * SECOND)
     item = network.publish(controls[0], 1)
     network.run(3_400 * MS)
     assert parent_of(network, edges[0]) is parent
     assert network.have(network.running(), item)
     network.run_until(lambda: network.all_know(network.running()), 2 * SECOND)
-    assert [other.core.own.member.incarnation for other in others] == before
+    assert [other.core.own_member.member.incarnation for other in others] == before
 
 
 def test_read_repair_asks_for_a_newer_version() -> None:
--- a/tests/failure_detection/test_cluster_monitoring.py
+++ b/tests/failure_detection/test_cluster_monitoring.py
@@ -37,7 +37,7 @@
 
 
 def incarnations(hosts: list[Host]) -> list[int]:
-    return [host.core.own.member.incarnation for host in hosts]
+    return [host.core.own_member.member.incarnation for host in hosts]
 
 
 # --- who monitors whom ----------------------------------------------------------------------------
@@ -148,7 +148,7 @@
         edges[0] = network.restart(edges[0])
         network.run_until(lambda: network.all_know(network.running()), 3 * SECOND)
         network.run(SECOND)
-        own = edges[0].core.own.item()
+        own = edges[0].core.own_member.item()
         assert all(host.core.table.get(ItemKind.MEMBER, own.key) == own for host in network.running())
 
 
@@ -164,9 +164,9 @@
 def test_a_monitor_that_alone_cannot_reach_its_target_gets_patient() -> None:
     network, controls, edges = small_fleet()
     network.cut_both_ways([controls[1]], [edges[0]])
-    before = edges[0].core.own.member.incarnation
+    before = edges[0].core.own_member.member.incarnation
     network.run(30 * SECOND)
-    assert edges[0].core.own.member.incarnation - before <= 8
+    assert edges[0].core.own_member.member.incarnation - before <= 8
 
 
 @pytest.mark.parametrize("count", [1, 2])
