--- a/tests/cluster/test_calls.py
+++ b/tests/cluster/test_calls.py
@@ -1,4 +1,8 @@
-"""Calls between nodes: an answer counts only for the incarnation of the process and the call that it answers."""
+"""Calls between nodes: a node counts an answer only if the answer names its current incarnation and an open call.
+
+A restarted process numbers its calls from the start again, so the call number alone cannot tell a late answer
+to a call of the previous incarnation from an answer to a current call.
+"""
 
 from __future__ import annotations
 
@@ -76,7 +80,7 @@
 
 
 class SentMessages:
-    """The transport of one member: what it sends can be awaited, and anything can be delivered to it."""
+    """Stand-in for one member's transport: records sent messages and delivers messages that the test makes up."""
 
     def __init__(self) -> None:
         self.sent: asyncio.Queue[tuple[str, ReceivedMessage]] = asyncio.Queue()
@@ -97,7 +101,7 @@
         self._deliver(peer, self.codec.encode(sender, message, life, answered_life))
 
     async def next(self, kind: type[Message], to: str = IPS[1]) -> ReceivedMessage:
-        """The next message of a kind to a member."""
+        """Wait for the next sent message of type `kind` to the IP address `to`."""
         while True:
             ip, received = await self.sent.get()
             if ip == to and isinstance(received.message, kind):
@@ -116,7 +120,7 @@
 
 
 def missed(number: int) -> PreVote:
-    """The answer of a member that misses the primary."""
+    """Return the pre-vote of a member that no longer receives anything from the primary."""
     return PreVote(number, True, True, GENESIS_EPOCH, genesis_view(IPS), True)
 
 
@@ -128,7 +132,7 @@
     await service.stop()
     transport, service = await start_member(disk.after_kill())
     second = await transport.next(PreVoteRequest)
-    assert second.message == first.message, "the restarted process numbers its calls alike"
+    assert second.message == first.message, "the restarted process did not repeat the call number"
     assert second.incarnation != first.incarnation
     for member in MEMBERS[1:]:
         transport.deliver(member, missed(first.message.number), answered_life=first.incarnation)
@@ -141,24 +145,29 @@
 
 
 def asks_for_promises(service: ReplicatedControlState) -> bool:
-    """Whether the member stands as a candidate and was told that a majority misses the primary."""
+    """Return True if the member is a candidate that won its pre-vote and now requests promises."""
     assert service._driver is not None
     machine = service._driver.member._machine
     return isinstance(machine, CandidateRole) and machine.candidate.has_prepared
 
 
 def test_an_answer_to_an_earlier_life_of_the_process_is_dropped_and_counted() -> None:
+    """Guards against a restarted candidate that counts a late answer to a call of its previous incarnation.
+
+    The restarted process numbers its first call like the first call before the restart.
+    """
     run(deliver_answers_to_an_earlier_life)
 
 
 def test_a_process_that_ignores_lives_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Planted fault: the incarnation check accepts every incarnation."""
     monkeypatch.setattr(IncarnationCheck, "accepts", lambda check, addressed: True)
     with pytest.raises(AssertionError, match="an answer to an earlier life was counted"):
         run(deliver_answers_to_an_earlier_life)
 
 
 class WaitingDisk(ModelDisk):
-    """Syncs wait for a permission."""
+    """Disk whose `sync` blocks until the event `permission` is set."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -179,7 +188,7 @@
         assert (await transport.next(PreVote)).answered_incarnation == 77
         disk.permission.clear()
         transport.deliver(MEMBERS[1], Prepare(Epoch(9, MEMBERS[1])), life=77)
-        transport.deliver(MEMBERS[1], Hello(True), life=78)  # the caller has started anew
+        transport.deliver(MEMBERS[1], Hello(True), life=78)  # the calling process has restarted
         transport.deliver(MEMBERS[1], PreVoteRequest(6), life=78)
         assert (await transport.next(PreVote)).answered_incarnation == 78
         disk.permission.set()
@@ -211,11 +220,11 @@
     assert member.state.witness.promised.candidate == MEMBERS[0], "the candidate went on to ask for promises"
 
 
-# --- between nodes --------------------------------------------------------------------------------
+# --- incarnations on connections between nodes ----------------------------------------------------
 
 
 class Inbox:
-    """Messages as they come to a transport."""
+    """Queue of the replication messages that a transport receives, in the order of their arrival."""
 
     def __init__(self, owner: Transport) -> None:
         self.queue: asyncio.Queue[tuple[PeerInfo, bytes]] = asyncio.Queue()
@@ -226,7 +235,7 @@
 
 
 async def restart_between(one: Transport, other: Transport) -> tuple[Transport, Inbox]:
-    """The process at the other address knows the first one, ends, and starts anew."""
+    """Connect both transports, stop `other`, and return its successor with a new incarnation, not started yet."""
     inbox = Inbox(other)
     one.send(other.listen, Channel.REPLICATION, b"hello")
     peer, _ = await inbox.next()
@@ -311,7 +320,7 @@
 
 
 def make_monitoring() -> tuple[Monitoring, Address, int]:
-    """A node that monitors one member, its address, and the number of the first probe."""
+    """Return a node's monitoring of one member, the address of that member, and the number of the first probe."""
     me, other = (
         NodeLocation(f"n{number}/control", Address(f"10.0.0.{number}", PORT), "z", "r", True) for number in (1, 2)
     )
--- a/tests/cluster/test_cluster_transport.py
+++ b/tests/cluster/test_cluster_transport.py
@@ -1,4 +1,4 @@
-"""The transport between nodes, over loopback sockets."""
+"""The transport between nodes and whole cluster nodes, over real loopback sockets."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Inbox:
-    """Messages as they come."""
+    """Queue of the messages that a transport receives on one channel, in the order of their arrival."""
 
     def __init__(self, owner: Transport, channel: Channel = Channel.REPLICATION) -> None:
         self.queue: asyncio.Queue[tuple[PeerInfo, bytes]] = asyncio.Queue()
@@ -107,7 +107,7 @@
     async def work() -> None:
         one, other = await pair()
         inbox = Inbox(other)
-        with socket.socket() as silent:  # accepts, and never reads
+        with socket.socket() as silent:  # the kernel accepts connections, but nobody reads from them
             silent.bind(("127.0.3.3", one.listen.port))
             silent.listen()
             for _ in range(50):
@@ -210,7 +210,7 @@
         with pytest.raises(ConnectionResetError):
             while await reader.read(4096):
                 pass
-            raise ConnectionResetError  # closed in order: as good
+            raise ConnectionResetError  # an orderly close is as good as a reset
         assert one.counters.invalid == 1
         writer.close()
         await one.stop()
@@ -240,7 +240,7 @@
 
 
 async def until(nodes: list[ClusterNode], condition: Callable[[], bool]) -> None:
-    """Wait for changes of the tables until the condition holds."""
+    """Wait until `condition` is true, checking again after each change of a node's item table."""
     changed = asyncio.Event()
     for each in nodes:
         each.table.add_listener(lambda items: changed.set())
--- a/tests/distribution/test_cluster_tree.py
+++ b/tests/distribution/test_cluster_tree.py
@@ -1,4 +1,4 @@
-"""The relay tree and the distribution of items, in a simulated network."""
+"""The relay tree and the distribution of items through it, in a simulated network."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return network.hosts[parent.address] if parent else None
 
 
-# --- who may be whose parent ----------------------------------------------------------------------
+# --- choice of parents ----------------------------------------------------------------------------
 
 
 def test_a_small_region_attaches_to_control_nodes_the_nearest_first() -> None:
--- a/tests/distribution/test_documents.py
+++ b/tests/distribution/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents: their digests and deltas, and their travels over a network that loses, doubles and reorders."""
+"""Documents: digests, deltas, and transfer over a network that loses, duplicates and reorders messages."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def edited(chance: random.Random, before: Document) -> Document:
-    """A document with a few entries changed, added and taken out."""
+    """Return a copy of the document with one to four random entries changed, added or removed."""
     entries = dict(before.entries)
     for _ in range(chance.randrange(1, 5)):
         key = f"key-{chance.randrange(20)}"
@@ -230,12 +230,12 @@
     assert codec.decode(codec.encode(message)) == message
 
 
-# --- a model: nodes in a chain, and every fault of the links between them --------------------------------------------
+# --- model: a chain of nodes whose links lose, duplicate and reorder messages ----------------------------------------
 
 
 @dataclass
 class Node:
-    """A node that holds the document, and the way to it."""
+    """A node of the chain: its document exchange, its current document and the versions that it adopted."""
 
     exchange: DocumentExchange = field(default_factory=DocumentExchange)
     held: VersionedDocument | None = None
@@ -248,11 +248,11 @@
 
 
 class MixtureError(AssertionError):
-    """A node holds what was never published, or went back."""
+    """A node adopted a document that was never published or is not newer, or missed the newest document."""
 
 
 class Chain:
-    """A source, which edits its document, and nodes that have it from each other."""
+    """A source that edits its document, and a chain of nodes that each fetch the document from the node before."""
 
     def __init__(self, seed: int, length: int = 3) -> None:
         self.chance = random.Random(seed)
@@ -268,7 +268,7 @@
             self.step(trouble=False)
         newest = max(self.published)
         if any(node.held is None or node.held.version != newest for node in self.nodes):
-            raise MixtureError("the newest document is not everywhere after all trouble")
+            raise MixtureError("not every node adopted the newest document after the faults ended")
 
     def step(self, trouble: bool) -> None:
         self.now += CHUNK_TIMEOUT_NS // 20
@@ -276,7 +276,7 @@
         if (trouble and chance.random() < 0.15) or not self.published:
             self.publish()
         if trouble and chance.random() < 0.02:
-            self.nodes[chance.randrange(1, len(self.nodes))] = Node()  # a process restarts and holds nothing
+            self.nodes[chance.randrange(1, len(self.nodes))] = Node()  # the process restarts without a document
         for number, node in enumerate(self.nodes[:-1]):
             if node.held is not None and chance.random() < 0.3:
                 self.send(number, number + 1, Announce(node.held.version.major, node.exchange.newest), trouble)
@@ -315,9 +315,9 @@
 
     def adopt(self, node: Node, held: VersionedDocument) -> None:
         if node.adopted and held.version <= node.adopted[-1]:
-            raise MixtureError(f"{held.version} after {node.adopted[-1]}")
+            raise MixtureError(f"adopted version {held.version} after version {node.adopted[-1]}")
         if self.published.get(held.version) != held.document:
-            raise MixtureError(f"{held.version} is not what was published")
+            raise MixtureError(f"the document adopted as version {held.version} differs from the published one")
         node.hold(held)
 
 
@@ -334,7 +334,7 @@
 
 
 def assemble_unchecked(self: DocumentReceiver, collected: _Collected, digest: int) -> VersionedDocument:
-    """What came is put on whatever is held."""
+    """Planted fault: applies a delta to the stored document, without a check of its base version and digest."""
     base = self._stored.document if self._stored is not None and collected.transfer.base is not None else Document()
     delta = DocumentDelta(collected.changed, tuple(collected.removed))
     return VersionedDocument(collected.transfer.version, base.apply(delta))
@@ -344,7 +344,7 @@
 
 
 def collect_in_any_order(self: DocumentReceiver, waiting: object, chunk: DocumentChunk) -> object:
-    """Each chunk counts as the one that is waited for."""
+    """Planted fault: accepts each chunk as the next expected chunk, whatever its number."""
     number = getattr(waiting, "number", 0)
     return REAL_COLLECT(self, waiting, replace(chunk, chunk=number))  # type: ignore[arg-type]
 
@@ -353,7 +353,7 @@
 
 
 def delta_from_any_base(self: DocumentSender, request: DocumentRequest) -> DocumentChunk | None:
-    """The last change is sent to whoever holds anything."""
+    """Planted fault: answers a request from any base version with the delta of the last change alone."""
     chunk = REAL_ANSWER(self, request)
     if chunk is None or request.base is None or not self._history._changes:
         return chunk
@@ -362,12 +362,12 @@
 
 
 def never_the_whole(self: DocumentReceiver) -> Version | None:
-    """A delta is asked for, whatever the last one was worth."""
+    """Planted fault: requests a delta again after a digest mismatch, where a full copy is needed."""
     return None if self._stored is None else self._stored.version
 
 
 def take_older(self: DocumentReceiver, version: Version) -> bool:
-    """Any version is as good as the one held."""
+    """Planted fault: treats every offered version as newer than the stored one."""
     return True
 
 
--- a/tests/distribution/test_fast_start.py
+++ b/tests/distribution/test_fast_start.py
@@ -1,4 +1,4 @@
-"""What shortens a start: listening before the program is imported, near seeds first, and readiness told at once."""
+"""Short start-up: sockets listen before the program is imported, near seeds first, readiness published at once."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 def data_plane_settings() -> ProcessSettings:
-    """Settings on a loopback address of this process alone, so that nobody else has the ports."""
+    """Return settings with a loopback address that depends on the process id, so that parallel tests share no ports."""
     ip = f"127.80.{os.getpid() >> 8 & 255}.{os.getpid() & 255 or 1}"
     return ProcessSettings(
         node="e1", role="edge", node_class="edge", serves=("edge",), ip=ip, zone="z1", region="r1",
--- a/tests/distribution/test_soft_state_explorer.py
+++ b/tests/distribution/test_soft_state_explorer.py
@@ -1,7 +1,7 @@
-"""The soft state under an explorer: random walks with every kind of trouble, and planted faults that it must find.
+"""Random walks through the soft state with every kind of fault, and planted faults that the walks must find.
 
-`EXPLORER_WALKS` sets the number of walks and `EXPLORER_FIRST` the seed of the first; what is run here by default takes
-seconds. A walk is drawn from its seed alone, so that one that failed is told again by its number.
+`EXPLORER_WALKS` sets the number of walks and `EXPLORER_FIRST` the seed of the first; the default number of walks takes
+seconds. A walk depends on its seed alone, so that its seed reproduces a failed walk.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 @dataclass
 class Pace:
-    """How much was explored, and in what time."""
+    """Totals over the walks of a test process: wall-clock seconds, walks, events and checked states."""
 
     seconds: float = 0.0
     walks: int = 0
@@ -78,17 +78,17 @@
 
 @pytest.fixture(scope="module")
 def pace(request: pytest.FixtureRequest) -> Iterator[Pace]:
-    """The pace of the walks of this process, printed at their end."""
+    """Collect the totals over the walks of this process and print them after the last walk."""
     pace = Pace()
     yield pace
     capture = request.config.pluginmanager.getplugin("capturemanager")
     assert capture is not None
     with capture.global_and_fixture_disabled():
-        print(f"\n{pace}", file=sys.stderr)  # the only one that xdist passes on
+        print(f"\n{pace}", file=sys.stderr)  # pytest-xdist passes on only stderr
 
 
 def tell(seed: int) -> Walk:
-    """Run one walk; what is violated names the seed and what came before."""
+    """Run one walk; add its seed and its log of faults to the message of a violation."""
     walk = Walk(seed)
     try:
         walk.run(SPAN)
@@ -108,7 +108,7 @@
     pace.checks += walk.watch.checks
 
 
-# --- a walk is told by its seed -------------------------------------------------------------------------------------
+# --- a walk is reproducible from its seed ---------------------------------------------------------------------------
 
 
 def test_a_walk_is_the_same_again() -> None:
@@ -116,7 +116,10 @@
 
 
 def test_steps_of_the_time_of_day_change_nothing() -> None:
-    """Nothing reads the time of day, which jumps at every look at it; a pause would show in the monotonic clock."""
+    """Guards against code that reads the wall clock, which jumps here at each reading.
+
+    A stall of a process shows in the monotonic clock.
+    """
     plain = trace(5)
     jumps = iter(range(10**9))
     with (
@@ -127,7 +130,7 @@
 
 
 def trace(seed: int) -> list[object]:
-    """What came of a walk."""
+    """Run a walk and return its number of events, log of faults, adopted versions and answers."""
     walk = tell(seed)
     adopted = [(process.machine.name, tuple(process.adopted)) for process in walk.world.edges()]
     answers = [(call.number, call.began_at, str(result)) for call, result in walk.world.answers]
@@ -138,7 +141,7 @@
 
 
 def contact_from_what_is_heard(self: NodeStanding) -> int | None:
-    """The majority of what arrives, whoever may have had our messages."""
+    """Planted fault: a control node counts contact by received messages, even if its own messages reach nobody."""
     if not self._is_control:
         return self._relayed_lease.instant
     heard = sorted((peer.last_seen_at for peer in self._control_peers.mesh.peers.values()), reverse=True)
@@ -149,7 +152,7 @@
 
 
 def lease_counted_from_receipt(self: Distribution, now: int, sender: Address, message: LeaseGrant) -> None:
-    """A grant counts as if its request had been sent when it came."""
+    """Planted fault: a lease runs from the receipt of the grant, where it must run from the sending of the request."""
     granted = self.lease._requests.get(message.number)
     if granted is not None:
         granted.sent_at = now
@@ -157,12 +160,12 @@
 
 
 def keepalive_counted_from_receipt(self: PeerClocks, now: int, address: Address, time: SendTime) -> int | None:
-    """What waited on the way looks new."""
+    """Planted fault: the age of a keepalive counts from its receipt, so that a delayed keepalive looks new."""
     return now
 
 
 def take_any_version(self: ItemTable, item: Item) -> bool:
-    """An item may go back."""
+    """Planted fault: the table replaces an item by one of any other version, also an older one."""
     held = self._items.get(item.name)
     if held is not None and held.version == item.version:
         return False
@@ -172,12 +175,12 @@
 
 
 def list_everybody(self: MemberList, now: int, is_silent: Callable[[str], bool]) -> tuple[Member, ...]:
-    """Neither suspicions nor deaths count."""
+    """Planted fault: the list of live members includes suspected and dead members."""
     return tuple(self._members.values())
 
 
 def tell_nothing(*_: object) -> Iterator[Message]:
-    """Digests that differ are passed over."""
+    """Planted fault: a node does not answer digests that differ from its own."""
     return iter(())
 
 
@@ -185,28 +188,28 @@
 
 
 def digest_without_workers(self: ItemTable, kind: ItemKind) -> int:
-    """Tables are compared but for the workers."""
+    """Planted fault: the digest of the workers is constant, so that anti-entropy never compares workers."""
     return 0 if kind is ItemKind.WORKER else REAL_DIGEST(self, kind)
 
 
-MOST_FIRST_SEQUENCE = 2  # of a worker's heartbeats: every node has heard of it
+MOST_FIRST_SEQUENCE = 2  # heartbeat sequence number; up to here a worker's item is new to the nodes and is still pushed
 REAL_SEND_ITEMS = Pushes._send_items
 
 
 def push_no_workers(self: Pushes, receivers: list[Address], pushed: list[Item]) -> None:
-    """What is new of workers that are known is left to the comparison of tables."""
+    """Planted fault: nodes do not push updates of known workers, so that only anti-entropy can deliver them."""
     is_first = {item.name for item in pushed if item.version.major <= MOST_FIRST_SEQUENCE}
     told = [item for item in pushed if item.kind is not ItemKind.WORKER or item.name in is_first]
     REAL_SEND_ITEMS(self, receivers, told)
 
 
 async def acknowledge_at_once(self: RegistryService, worker_id: str, document: dict[str, str]) -> Answer:
-    """The end of a worker is acknowledged before anybody else holds it."""
+    """Planted fault: acknowledges the end of a worker before any other node has stored it."""
     return self._acknowledge(document, True)
 
 
 def reply_without_confirmation(self: Primary, call: int, now: int) -> list[Action]:
-    """A read is answered from what this node holds."""
+    """Planted fault: the primary answers a read from its local state without confirmation by a majority."""
     return [Reply(call, Committed(self._replica.state_at(self._committed)))]
 
 
@@ -214,12 +217,12 @@
 
 
 def delta_without_removals(self: Document, keys: Iterable[str]) -> DocumentDelta:
-    """What was taken out is not told."""
+    """Planted fault: a delta leaves out the removed keys."""
     return DocumentDelta(REAL_DELTA_OF(self, keys).changed)
 
 
 def keys_of_last_change(self: DocumentHistory, base: Version) -> frozenset[str] | None:
-    """The history takes any base for the one before the last change."""
+    """Planted fault: the history returns the keys of the last change alone, whatever the base version."""
     return self._changes[-1].keys if self._changes else None
 
 
@@ -228,7 +231,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """A fault, the trouble that brings it to light, and the invariant that it breaks."""
+    """A planted fault: its patches, the violation that must reveal it, and the kinds of network fault to draw from."""
 
     plants: tuple[Plant, ...]
     found_as: type[ViolationError]
@@ -236,7 +239,7 @@
 
 
 def plant(owner: object, name: str, broken: object) -> Plant:
-    """Put something broken in the place of an attribute."""
+    """Return a factory of a patch that replaces the attribute `name` of `owner` with `broken`."""
     return lambda: mock.patch.object(owner, name, broken)
 
 
@@ -318,7 +321,7 @@
 
 
 def finds(seed: int, fault: Fault) -> bool:
-    """Whether a walk through the fault's trouble breaks the invariant."""
+    """Return True if the walk of this seed ends in the violation that the planted fault must cause."""
     try:
         Walk(seed, kinds=fault.kinds).run(SPAN)
     except fault.found_as:
--- a/tests/distribution/test_soft_state_scenarios.py
+++ b/tests/distribution/test_soft_state_scenarios.py
@@ -1,4 +1,4 @@
-"""Directed stories in the world of the soft-state explorer: what operators met, with every invariant watched."""
+"""Scripted scenarios in the world of the soft-state explorer: operators' incidents, with all invariants checked."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 STEP = 50 * MILLISECOND
 LONG_CUT = 20 * SECOND
-ORDER_EVERY = 10  # steps
+ORDER_EVERY = 10  # simulation steps between two changes by the operator
 
 
 class Story:
-    """A world that has begun, with its invariants; while time passes, an operator orders at a node that leads."""
+    """A running world with its invariants; while time passes, an operator reads and changes state at the primary."""
 
     def __init__(self, shape: Shape | None = None) -> None:
         self.world = World(1, shape or Shape())
@@ -42,7 +42,7 @@
         self.run(6 * SECOND)
 
     def run(self, span: int) -> None:
-        """Let time pass, and check every step."""
+        """Advance the simulated time by `span` nanoseconds and check the invariants after each step."""
         for _ in range(span // STEP):
             self.world.run(STEP)
             self.watch.check()
@@ -74,7 +74,7 @@
         return primary.machine
 
     def acknowledged_since(self, begun: int) -> int:
-        """How many calls were confirmed since a time."""
+        """Return the number of changes acknowledged at or after `begun`, in simulated nanoseconds."""
         return sum(change.at >= begun for change in self.world.acknowledged)
 
     def assert_all_are_up_to_date(self, edges: Iterable[Process]) -> None:
@@ -96,7 +96,11 @@
 
 
 def is_cut_for_twenty_seconds(story: Story, who: str, way: str, passage: Passage) -> None:
-    """Its children leave it, orders go on elsewhere, and it neither vouches nor answers."""
+    """Cut one control machine off and check the others and the edges.
+
+    The edges choose other parents, changes go on at the other control machines, and the cut-off control machine
+    neither claims contact with a majority nor answers.
+    """
     primary = story.primary_machine()
     cut = primary if who == "the primary" else story.control_machines(primary)[0]
     others = story.control_machines(cut)
@@ -118,7 +122,10 @@
 
 
 def test_edges_that_begin_with_seeds_on_the_wrong_side_find_the_others() -> None:
-    """The only seed that they know is cut off from the other control machines, but still knows them."""
+    """Guards against edges that stay with their only seed while that seed is cut off from the other control machines.
+
+    The seed still lists the other control machines, so the edges can learn their addresses from the seed.
+    """
     story = Story()
     cut = story.machine("core-1")
     story.world.cut_both_ways([cut], story.control_machines(cut))
@@ -133,7 +140,7 @@
 
 
 def test_a_parent_stands_still_and_goes_on() -> None:
-    """What it says when it goes on is as old as it is."""
+    """Guards against a resumed process that claims contact with a majority from before its stall."""
     story = Story()
     process = story.machine("core-2").process
     assert process is not None
@@ -148,7 +155,10 @@
 
 
 def test_a_worker_drains_at_a_control_machine_that_is_cut_off() -> None:
-    """It is not acknowledged there; elsewhere it is, and every edge knows of it 3 s later."""
+    """Guards against a cut-off control machine that acknowledges the draining of a worker.
+
+    Another control machine acknowledges the draining, and 3 s later every edge must act on it.
+    """
     story = Story()
     cut = story.machine("core-0")
     told: list[bool] = []
@@ -171,7 +181,7 @@
 
 
 def test_a_cut_off_primary_confirms_and_refuses_nothing() -> None:
-    """Orders and reads that reach it end with an open outcome, or are handed on."""
+    """Changes and reads at a cut-off primary must end with an unknown outcome or a redirect to another node."""
     story = Story()
     cut = story.primary_machine()
     process = next(control for control in story.world.controls() if control.machine is cut)
@@ -186,9 +196,9 @@
     assert not any(isinstance(answer, Committed) for answer in answers)
 
 
-# --- a member that is heard and does not hear -----------------------------------------------------------------------
+# --- a member whose messages arrive, but that receives none ---------------------------------------------------------
 
-MOST_VIEWS = 2  # the one without the member, and one that another candidacy was ahead of
+MOST_VIEWS = 2  # the view without the member, and one more if a competing candidate preempts the first
 
 
 def test_a_member_that_hears_nobody_is_left_out_of_the_view_once() -> None:
@@ -196,9 +206,10 @@
 
 
 def test_taking_in_whoever_is_heard_is_found() -> None:
-    """The view would change again and again, and orders wait each time.
+    """Planted fault: the primary adds a member to the view that only sends and receives nothing.
 
-    Two rules stand against it, one behind the other: a member joins when it answers, and when it has caught up.
+    The view would change again and again, and changes wait each time. Two rules prevent the repeated view changes:
+    a member joins the view only if the member answers, and only if the member has caught up.
     """
     with (
         mock.patch.object(MemberLiveness, "is_answering", lambda self, member, now: True),
@@ -208,7 +219,7 @@
 
 
 def views_while_a_member_hears_nobody() -> int:
-    """How many views there are in twenty seconds."""
+    """Return the number of epochs in 20 simulated seconds while one member receives nothing."""
     story = Story()
     primary = story.primary_machine()
     deaf = story.control_machines(primary)[0]
@@ -222,7 +233,7 @@
     return len(epochs)
 
 
-# --- a machine that joins -------------------------------------------------------------------------------------------
+# --- a joining machine ----------------------------------------------------------------------------------------------
 
 
 def test_a_joining_machine_vouches_for_nothing_before_it_knows_a_view() -> None:
@@ -245,7 +256,10 @@
 
 
 def joins_by_a_cut_off_seed() -> None:
-    """One of three is gone for good; a new machine hears only another, which is cut off: they are no majority."""
+    """Replace one of three control machines while the new machine reaches only one, cut-off control machine.
+
+    The new machine and the cut-off control machine are no majority, so neither may claim contact with one.
+    """
     story = Story()
     seed, gone, far = (story.machine(f"core-{number}") for number in range(3))
     story.world.remove(gone)
--- a/tests/failure_detection/test_cluster_monitoring.py
+++ b/tests/failure_detection/test_cluster_monitoring.py
@@ -40,7 +40,7 @@
     return [host.core.own.member.incarnation for host in hosts]
 
 
-# --- who monitors whom ----------------------------------------------------------------------------
+# --- choice of monitors ---------------------------------------------------------------------------
 
 
 def test_an_edge_has_two_monitors_of_its_region_and_a_control_node_of_another() -> None:
--- a/tests/failure_detection/test_membership.py
+++ b/tests/failure_detection/test_membership.py
@@ -1,4 +1,4 @@
-"""One instance by hand: what it believes, and the bounds on what it keeps and sends."""
+"""A single SWIM instance fed by hand: which updates it accepts, and the bounds on its members and datagrams."""
 
 from __future__ import annotations
 
--- a/tests/failure_detection/test_membership_faults.py
+++ b/tests/failure_detection/test_membership_faults.py
@@ -1,4 +1,4 @@
-"""A fleet in simulated time under one fault at a time: deaths, partitions, stalls, clocks, losses."""
+"""SWIM membership of a simulated fleet, one fault at a time: crash, partition, stall, clock step, datagram loss."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def fleet(count: int, *faults: LinkFault, **more: Any) -> PeerWorld:
-    """All started within a second, and in agreement."""
+    """Start all instances within a second and wait until their membership views agree."""
     world = PeerWorld(count, faults=faults, **more)
     world.start_all()
     world.run(1.01)
@@ -99,7 +99,7 @@
     world = fleet(5)
     for clock in (-3600.0, -7200.0, 3600.0, 0.0):
         world.kill("n1")
-        world.run(0.2)  # nobody has noticed yet
+        world.run(0.2)  # too short for any instance to detect the crash
         world.start("n1", clock)
         assert world.until(world.agree, 10) < 2, clock
 
@@ -123,7 +123,7 @@
         members = world.instances[name].members
         assert members is not None
         assert members.members["n1"].known.address == twin.address
-    twin.members = None  # it ends, and the one that stayed out is the member again
+    twin.members = None  # the newer process ends, and the displaced process becomes the member again
     assert world.until(lambda: old.members is not None and old.members.own_state is OwnState.MEMBER, 20) < 20
 
 
@@ -133,8 +133,8 @@
         world.kill(name)
     world.kill("n5")
     world.run(5)
-    assert world.agree()  # those that are there need no seed
-    world.start("n5")  # its file names dead seeds alone, but the others ask the dead now and then
+    assert world.agree()  # instances that are already members need no seed
+    world.start("n5")  # all its configured seeds are dead, but the other instances ping dead members now and then
     assert world.until(world.agree, 10) < 5
     world.start("n2")
     assert world.until(world.agree, 10) < 5
--- a/tests/failure_detection/test_membership_hearsay.py
+++ b/tests/failure_detection/test_membership_hearsay.py
@@ -1,8 +1,8 @@
-"""Deaths that are merely told: a cut that heals kills nobody who answers within the time of a suspicion.
+"""Deaths by hearsay: after a partition heals, no member that answers within the suspicion time-out is declared dead.
 
-After a cut each side holds the other dead. What it says of that comes late, and more than once, to instances whose own
-knowledge is newer. `EarlyHearsay` is the rule as it was: a member that was suspect for a quarter of a second was dead
-at the next word of it, however lately it had spoken itself.
+After a partition each side has declared the other dead. The death updates arrive late, and more than once, at instances
+whose own information is newer. `EarlyHearsay` is the former, faulty rule: a member that was suspect for a quarter of a
+second was declared dead at the next death update, however recently the member itself had sent a datagram.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class EarlyHearsay(MemberUpdates):
-    """Planted fault: takes a death by hearsay for true after half of the least suspicion."""
+    """Planted fault: accepts a death by hearsay after half of the minimum suspicion time-out."""
 
     def apply(self, now: int, update: MemberUpdate, source: str) -> None:
         member = self._members.get(update.name)
@@ -48,14 +48,14 @@
 
 
 class Unrefereed(Fleet):
-    """Without the referee's word on deaths, which forgives them for six seconds after a cut."""
+    """Fleet without the referee's check of deaths, which tolerates deaths for six seconds after a cut."""
 
     def _check_death(self, each: object, change: object) -> None:
         pass
 
 
 def deaths_after_the_heal(seed: int, held_up_s: float, make: Callable[..., Membership] = Membership) -> list[Seen]:
-    """Two parts heal while one instance stands still for a moment: who is called dead by one of its own part."""
+    """Heal a partition while one instance is stalled; return the deaths that a member of the same part declared."""
     fleet = Unrefereed(len(FEW + MANY), make, seed)
     for name in fleet.instances:
         fleet.start(name)
@@ -107,7 +107,10 @@
 
 
 def with_two_members(make: Callable[..., Membership] = Membership) -> Membership:
-    """An instance that has met `m0` and `m1` at the first second; it asks nobody, so its own health stays well."""
+    """Return an instance with the members `m0` and `m1`, known since the first second.
+
+    The instance sends no pings, so that no missed answer lowers its local health (Lifeguard).
+    """
     mine = make(Sender("n0", 100, 0, "127.0.0.1:1"), (), SwimParameters(ping_interval=60 * SECOND), 1, SECOND)
     for name, address in PLACES.items():
         mine.updates.apply(SECOND, MemberUpdate(name, address, MemberStatus.ALIVE, 1, 0), name)
@@ -144,7 +147,7 @@
 
 
 def judging(mine: Membership, now: int, *events: DatagramReceived) -> None:
-    """Another member speaks, and answered a ping that was sent just before: this instance may judge."""
+    """Deliver a datagram and a recent ping answer of another member, so that this instance may declare deaths."""
     mine.reachability.confirm(now - MS)
     mine.handle(now, [said("m0"), *events])
 
@@ -162,7 +165,10 @@
 
 
 def test_a_newer_incarnation_that_is_suspected_has_the_whole_time_of_a_suspicion() -> None:
-    """Its refutation got lost on the way here; the older suspicion's time is not counted against it."""
+    """Guards against a suspicion of a newer incarnation that inherits the elapsed time of the older suspicion.
+
+    The fault needs a member that refuted the older suspicion with a refutation that was lost on its way here.
+    """
     mine = with_two_members()
     judging(mine, SECOND, suspected())
     renewed = SECOND + 900 * MS
--- a/tests/failure_detection/test_membership_histories.py
+++ b/tests/failure_detection/test_membership_histories.py
@@ -1,6 +1,6 @@
-"""Membership under drawn histories of faults, and planted faults that the same histories must show.
+"""SWIM membership under random histories of faults, and planted faults that the same histories must reveal.
 
-The referee and the histories are in `tests/support/peering.py`.
+The referee, which checks the rules of membership, and the histories are in `tests/support/peering.py`.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class Histories(RuleBasedStateMachine):
-    """Four instances on a network that loses, delays, doubles and reorders; at the end all is well again."""
+    """Four instances on a network that loses, delays, duplicates and reorders datagrams, and recovers at the end."""
 
     @initialize(seed=st.integers(0, 2**16))
     def begin(self, seed: int) -> None:
@@ -79,7 +79,7 @@
     run_history(seed)
 
 
-# --- mutations: each breaks one rule on purpose, and the same histories must show it ------------------
+# --- planted faults: each breaks one rule, and the histories must reveal each fault -------------------
 
 
 class NeverRefutes(OwnInstance):
@@ -133,7 +133,7 @@
 
 
 class DeadByHearsay(MemberUpdates):
-    """Takes a death by hearsay at once, so that a cut that heals kills a side's own members."""
+    """Accepts a death by hearsay at once, so that members of the own side are declared dead when a partition heals."""
 
     def apply(self, now: int, update: MemberUpdate, source: str) -> None:
         member = self._members.get(update.name)
--- a/tests/failure_detection/test_membership_one_way.py
+++ b/tests/failure_detection/test_membership_one_way.py
@@ -1,7 +1,7 @@
-"""A cut in one direction, in simulated time: who hears others and is answered by nobody passes no judgement.
+"""One-way partitions in simulated time: an instance whose pings nobody answers declares no member dead.
 
-Contact is a ping that was answered, counted from when it was sent. `DeclaresWithoutContact` is the rule as it was: to
-hear one other was enough.
+Contact means an answered ping, and its time is the sending of that ping. `DeclaresWithoutContact` is the former, faulty
+rule: a datagram received from one other member counted as contact.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class DeclaresWithoutContact(SuspicionRules):
-    """Planted fault: takes it for contact that it hears somebody."""
+    """Planted fault: counts any received datagram as contact with the fleet."""
 
     def may_declare_dead(self, member: Member, now: int) -> bool:
         received_at = self._reachability.last_received_at
@@ -51,7 +51,7 @@
 
 
 def mute(fleet: Fleet, name: str, heard: tuple[str, ...] = NAMES) -> None:
-    """Nobody hears this instance; it hears these."""
+    """Drop all datagrams from the instance `name`; only the members in `heard` still reach the instance."""
     for other in NAMES:
         if other != name:
             fleet.cut(name, other, both=other not in heard)
@@ -114,7 +114,7 @@
 
 
 def asked_back(mine: Membership, now: int) -> int:
-    """The number under which this instance asks a stranger back."""
+    """Return the number of the ping with which this instance verifies the unknown sender `OTHER`."""
     told = mine.handle(now, [DatagramReceived(OTHER, Datagram(DatagramKind.PING, 5))])
     (ping,) = [item for item in told if isinstance(item, SendDatagram) and item.datagram.kind is DatagramKind.PING]
     return ping.datagram.number
@@ -126,12 +126,15 @@
     mine.handle(SECOND + 200 * MS, [DatagramReceived(OTHER, Datagram(DatagramKind.ACK, number))])
     mine.handle(SECOND + mine.parameters.answer_timeout, [DatagramReceived(OTHER, Datagram(DatagramKind.UPDATES))])
     assert mine.view(SECOND + mine.parameters.answer_timeout).unanswered_since is None
-    later = mine.view(SECOND + mine.parameters.answer_timeout + MS)  # it hears the other all along
+    later = mine.view(SECOND + mine.parameters.answer_timeout + MS)  # datagrams of the other member still arrive
     assert (later.nothing_received_since, later.unanswered_since, later.confidence) == (None, SECOND, 0.0)
 
 
 def test_an_answer_of_long_ago_lets_nobody_judge() -> None:
-    """A suspicion that its member stretched, as it spoke: meanwhile nothing was answered any more."""
+    """Guards against an instance that declares a death although its last answered ping is too old.
+
+    The suspicion lasts long because its member keeps sending datagrams, while no ping is answered any more.
+    """
     mine = Membership(Sender("n0", 100, 0, "127.0.0.1:1"), (), SwimParameters(ping_interval=60 * SECOND), 1, SECOND)
     number = asked_back(mine, SECOND)
     mine.handle(SECOND, [DatagramReceived(OTHER, Datagram(DatagramKind.ACK, number))])
