--- a/tests/cluster/test_calls.py
+++ b/tests/cluster/test_calls.py
@@ -58,21 +58,21 @@
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 MEMBERS = tuple(member_id(ip, GENESIS_DISK) for ip in IPS)
 PORT = 7000
-LIMIT_S = 10.0
-QUICK = ReplicationTiming(
+TIMEOUT_S = 10.0
+FAST_TIMING = ReplicationTiming(
     first_election_timeout_ns=10 * MILLISECOND, election_rank_step_ns=0, resend_interval_ns=20 * MILLISECOND
 )
 
 
 def run(work: Callable[[], Awaitable[None]]) -> None:
-    async def limited() -> None:
-        async with asyncio.timeout(LIMIT_S):
+    async def with_timeout() -> None:
+        async with asyncio.timeout(TIMEOUT_S):
             await work()
 
-    asyncio.run(limited())
+    asyncio.run(with_timeout())
 
 
-def test_incarnations_differ_and_are_known() -> None:
+def test_drawn_incarnations_are_distinct_and_nonzero() -> None:
     generator = random.Random(1)
     incarnations = {draw_incarnation(generator) for _ in range(1000)}
     assert len(incarnations) == 1000
@@ -95,10 +95,10 @@
     def register(self, channel: Channel, callback: Callable[[PeerInfo, bytes], None]) -> None:
         self._deliver = callback
 
-    def deliver(self, sender: MemberId, message: Message, life: int = 77, answered_life: int = 0) -> None:
+    def deliver(self, sender: MemberId, message: Message, incarnation: int = 77, answered_incarnation: int = 0) -> None:
         assert self._deliver is not None
         peer = PeerInfo(sender, Address(member_ip(sender), PORT))
-        self._deliver(peer, self.codec.encode(sender, message, life, answered_life))
+        self._deliver(peer, self.codec.encode(sender, message, incarnation, answered_incarnation))
 
     async def next(self, kind: type[Message], to: str = IPS[1]) -> ReceivedMessage:
         """Wait for the next sent message of type `kind` to the IP address `to`."""
@@ -114,17 +114,19 @@
         node="core-1", role="control-plane", node_class="core", serves=("control",), ip=IPS[0], zone="z", region="r",
         port_range=(PORT, PORT + 9), seeds=tuple(Address(ip, 8146) for ip in IPS), bootstrap=True,
     )  # fmt: skip
-    service = ReplicatedControlState(settings, transport, apply, encode_state, decode_state, disk=disk, timing=QUICK)
+    service = ReplicatedControlState(
+        settings, transport, apply, encode_state, decode_state, disk=disk, timing=FAST_TIMING
+    )
     await service.start()
     return transport, service
 
 
-def missed(number: int) -> PreVote:
+def granted_pre_vote(number: int) -> PreVote:
     """Return the pre-vote of a member that no longer receives anything from the primary."""
     return PreVote(number, True, True, GENESIS_EPOCH, genesis_view(IPS), True)
 
 
-async def deliver_answers_to_an_earlier_life() -> None:
+async def deliver_answers_to_previous_incarnation() -> None:
     disk = ModelDisk()
     transport, service = await start_member(disk)
     first = await transport.next(PreVoteRequest)
@@ -135,63 +137,63 @@
     assert second.message == first.message, "the restarted process did not repeat the call number"
     assert second.incarnation != first.incarnation
     for member in MEMBERS[1:]:
-        transport.deliver(member, missed(first.message.number), answered_life=first.incarnation)
-    assert not asks_for_promises(service), "an answer to an earlier life was counted"
+        transport.deliver(member, granted_pre_vote(first.message.number), answered_incarnation=first.incarnation)
+    assert not requests_promises(service), "an answer to a previous incarnation was counted"
     assert service.status.stale_answers == 2
     for member in MEMBERS[1:]:
-        transport.deliver(member, missed(first.message.number), answered_life=second.incarnation)
-    assert asks_for_promises(service)
+        transport.deliver(member, granted_pre_vote(first.message.number), answered_incarnation=second.incarnation)
+    assert requests_promises(service)
     await service.stop()
 
 
-def asks_for_promises(service: ReplicatedControlState) -> bool:
+def requests_promises(service: ReplicatedControlState) -> bool:
     """Return True if the member is a candidate that won its pre-vote and now requests promises."""
     assert service._driver is not None
     machine = service._driver.member._machine
     return isinstance(machine, CandidateRole) and machine.candidate.has_prepared
 
 
-def test_an_answer_to_an_earlier_life_of_the_process_is_dropped_and_counted() -> None:
+def test_answer_to_previous_incarnation_is_dropped_and_counted() -> None:
     """Guards against a restarted candidate that counts a late answer to a call of its previous incarnation.
 
     The restarted process numbers its first call like the first call before the restart.
     """
-    run(deliver_answers_to_an_earlier_life)
+    run(deliver_answers_to_previous_incarnation)
 
 
-def test_a_process_that_ignores_lives_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_member_that_accepts_any_incarnation_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """Planted fault: the incarnation check accepts every incarnation."""
     monkeypatch.setattr(IncarnationCheck, "accepts", lambda check, addressed: True)
-    with pytest.raises(AssertionError, match="an answer to an earlier life was counted"):
-        run(deliver_answers_to_an_earlier_life)
+    with pytest.raises(AssertionError, match="an answer to a previous incarnation was counted"):
+        run(deliver_answers_to_previous_incarnation)
 
 
-class WaitingDisk(ModelDisk):
-    """Disk whose `sync` blocks until the event `permission` is set."""
+class BlockingDisk(ModelDisk):
+    """Disk whose `sync` blocks until the event `sync_allowed` is set."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.permission = threading.Event()
-        self.permission.set()
+        self.sync_allowed = threading.Event()
+        self.sync_allowed.set()
 
     def sync(self, name: str) -> None:
-        self.permission.wait(LIMIT_S)
+        self.sync_allowed.wait(TIMEOUT_S)
         super().sync(name)
 
 
-def test_an_answer_names_the_life_that_called_however_long_the_disk_takes() -> None:
+def test_answer_names_calling_incarnation_after_slow_sync() -> None:
     async def work() -> None:
-        disk = WaitingDisk()
+        disk = BlockingDisk()
         transport, service = await start_member(disk)
         await transport.next(PreVoteRequest)
-        transport.deliver(MEMBERS[1], PreVoteRequest(5), life=77)
+        transport.deliver(MEMBERS[1], PreVoteRequest(5), incarnation=77)
         assert (await transport.next(PreVote)).answered_incarnation == 77
-        disk.permission.clear()
-        transport.deliver(MEMBERS[1], Prepare(Epoch(9, MEMBERS[1])), life=77)
-        transport.deliver(MEMBERS[1], Hello(True), life=78)  # the calling process has restarted
-        transport.deliver(MEMBERS[1], PreVoteRequest(6), life=78)
+        disk.sync_allowed.clear()
+        transport.deliver(MEMBERS[1], Prepare(Epoch(9, MEMBERS[1])), incarnation=77)
+        transport.deliver(MEMBERS[1], Hello(True), incarnation=78)  # the calling process has restarted
+        transport.deliver(MEMBERS[1], PreVoteRequest(6), incarnation=78)
         assert (await transport.next(PreVote)).answered_incarnation == 78
-        disk.permission.set()
+        disk.sync_allowed.set()
         assert (await transport.next(Promise)).answered_incarnation == 77
         await service.stop()
 
@@ -199,23 +201,23 @@
 
 
 def make_member() -> Member:
-    settings = MemberSettings(MEMBERS[0], IPS, timing=QUICK)
+    settings = MemberSettings(MEMBERS[0], IPS, timing=FAST_TIMING)
     return Member(settings, DurableState.genesis(genesis_view(IPS)), apply, apply, 0)
 
 
-def test_an_answer_to_another_call_changes_nothing_and_is_counted() -> None:
+def test_answer_to_other_call_is_ignored_and_counted() -> None:
     member = make_member()
     sends = [action for action in member.tick(SECOND) if isinstance(action, Send)]
     probe = sends[0].message
     assert isinstance(probe, PreVoteRequest)
     assert member.role is Role.CANDIDATE
     for sender in MEMBERS:
-        assert member.receive(sender, missed(probe.number + 1), SECOND) == []
+        assert member.receive(sender, granted_pre_vote(probe.number + 1), SECOND) == []
         assert member.receive(sender, Refused(Epoch(probe.number + 5, MEMBERS[0]), Epoch(99)), SECOND) == []
     assert member.stale_answers == 6
     assert member.role is Role.CANDIDATE
     for sender in MEMBERS[:2]:
-        member.receive(sender, missed(probe.number), SECOND)
+        member.receive(sender, granted_pre_vote(probe.number), SECOND)
     assert member.stale_answers == 6
     assert member.state.witness.promised.candidate == MEMBERS[0], "the candidate went on to ask for promises"
 
@@ -234,8 +236,8 @@
         return await self.queue.get()
 
 
-async def restart_between(one: Transport, other: Transport) -> tuple[Transport, Inbox]:
-    """Connect both transports, stop `other`, and return its successor with a new incarnation, not started yet."""
+async def connect_and_replace(one: Transport, other: Transport) -> tuple[Transport, Inbox]:
+    """Connect both transports, stop `other`, and return a successor with a new incarnation, not started yet."""
     inbox = Inbox(other)
     one.send(other.listen, Channel.REPLICATION, b"hello")
     peer, _ = await inbox.next()
@@ -245,11 +247,11 @@
     await other.stop()
     while is_connected(one, other.listen):
         await asyncio.sleep(0.001)
-    again = Transport("other", other.listen)
-    return again, Inbox(again)
+    successor = Transport("other", other.listen)
+    return successor, Inbox(successor)
 
 
-async def two() -> tuple[Transport, Transport]:
+async def start_pair() -> tuple[Transport, Transport]:
     port = free_port()
     one, other = Transport("one", Address("127.0.6.1", port)), Transport("other", Address("127.0.6.2", port))
     await one.start()
@@ -257,63 +259,63 @@
     return one, other
 
 
-def test_what_waits_for_an_earlier_life_of_a_peer_is_dropped_when_the_new_one_connects(
+def test_frames_queued_for_previous_incarnation_are_dropped_when_new_one_connects(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def hang(address: Address) -> None:
         await asyncio.Event().wait()
 
     async def work() -> None:
-        one, other = await two()
-        again, inbox = await restart_between(one, other)
+        one, other = await start_pair()
+        successor, inbox = await connect_and_replace(one, other)
         monkeypatch.setattr(one, "connect", hang)
         one.send(other.listen, Channel.REPLICATION, b"for the earlier life")
-        await again.start()
-        again.send(one.listen, Channel.REPLICATION, b"here again")
-        while one._peers[other.listen].incarnation != again.incarnation_check.incarnation:
+        await successor.start()
+        successor.send(one.listen, Channel.REPLICATION, b"here again")
+        while one._peers[other.listen].incarnation != successor.incarnation_check.incarnation:
             await asyncio.sleep(0.001)
         one.send(other.listen, Channel.REPLICATION, b"for this life")
         assert (await inbox.next())[1] == b"for this life"
         assert one.counters.other_incarnation == 1
         await one.stop()
-        await again.stop()
+        await successor.stop()
 
     run(work)
 
 
-def send_until_the_new_life_is_known() -> None:
+def send_until_new_incarnation_is_known() -> None:
     async def work() -> None:
-        one, other = await two()
-        earlier_life = other.incarnation_check.incarnation
-        again, inbox = await restart_between(one, other)
-        await again.start()
-        one._peers[other.listen].incarnation = earlier_life
-        while again.incarnation_check.dropped == 0:
+        one, other = await start_pair()
+        previous_incarnation = other.incarnation_check.incarnation
+        successor, inbox = await connect_and_replace(one, other)
+        await successor.start()
+        one._peers[other.listen].incarnation = previous_incarnation
+        while successor.incarnation_check.dropped == 0:
             one.send(other.listen, Channel.REPLICATION, b"for the earlier life")
             await asyncio.sleep(0.005)
-        while one._peers[other.listen].incarnation != again.incarnation_check.incarnation:
+        while one._peers[other.listen].incarnation != successor.incarnation_check.incarnation:
             await asyncio.sleep(0.001)
         one.send(other.listen, Channel.REPLICATION, b"for this life")
         received = await inbox.next()
         await one.stop()
-        await again.stop()
-        assert received[1] == b"for this life", "a frame for an earlier life was taken"
+        await successor.stop()
+        assert received[1] == b"for this life", "a frame for a previous incarnation was accepted"
 
     run(work)
 
 
-def test_frames_for_an_earlier_life_are_dropped_until_the_sender_has_heard_of_the_new_one() -> None:
-    send_until_the_new_life_is_known()
+def test_frames_for_previous_incarnation_are_dropped_until_sender_learns_new_one() -> None:
+    send_until_new_incarnation_is_known()
 
 
-def test_a_transport_that_ignores_incarnations_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def count_and_take(check: IncarnationCheck, addressed_incarnation: int) -> bool:
+def test_transport_that_accepts_any_incarnation_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    def count_and_accept(check: IncarnationCheck, addressed_incarnation: int) -> bool:
         check.dropped += addressed_incarnation != check.incarnation
         return True
 
-    monkeypatch.setattr(IncarnationCheck, "accepts", count_and_take)
-    with pytest.raises(AssertionError, match="a frame for an earlier life was taken"):
-        send_until_the_new_life_is_known()
+    monkeypatch.setattr(IncarnationCheck, "accepts", count_and_accept)
+    with pytest.raises(AssertionError, match="a frame for a previous incarnation was accepted"):
+        send_until_new_incarnation_is_known()
 
 
 # --- probes ---------------------------------------------------------------------------------------
@@ -330,7 +332,7 @@
     return monitoring, other.address, probes[0].number
 
 
-def test_the_answer_to_an_old_probe_says_nothing_of_now() -> None:
+def test_answer_to_old_probe_does_not_make_target_responsive() -> None:
     monitoring, address, number = make_monitoring()
     monitoring.on_answer(SECOND, address, number)
     now = SECOND
@@ -348,7 +350,7 @@
     assert not monitoring.is_unresponsive("n2/control")
 
 
-def test_the_answer_to_a_probe_of_an_earlier_life_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_answer_to_probe_of_previous_incarnation_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         settings = ProcessSettings(
             node="core-1", role="control-plane", node_class="core", serves=("control",), ip=IPS[0], zone="z",
@@ -357,10 +359,10 @@
         node = ClusterNode(settings, is_control=True)
         answered: list[int] = []
         monkeypatch.setattr(node._core, "on_answer", lambda now, sender, number: answered.append(number))
-        for number, life in enumerate(
+        for number, incarnation in enumerate(
             (node.transport.incarnation_check.incarnation + 2, node.transport.incarnation_check.incarnation)
         ):
-            answer = membership_pb2.Probe(is_answer=True, number=number, life=life)
+            answer = membership_pb2.Probe(is_answer=True, number=number, life=incarnation)
             node._on_datagram(Address(IPS[1], PORT), answer.SerializeToString())
         assert answered == [1]
         assert node.transport.incarnation_check.dropped == 1
--- a/tests/cluster/test_cluster_transport.py
+++ b/tests/cluster/test_cluster_transport.py
@@ -18,15 +18,15 @@
 from tests.support.connections import is_connected
 from tests.support.free_ports import free_port
 
-TIMEOUT = 10.0
+TIMEOUT_S = 10.0
 
 
 def run(work: Coroutine[None, None, None]) -> None:
-    async def limited() -> None:
-        async with asyncio.timeout(TIMEOUT):
+    async def with_timeout() -> None:
+        async with asyncio.timeout(TIMEOUT_S):
             await work
 
-    asyncio.run(limited())
+    asyncio.run(with_timeout())
 
 
 class Inbox:
@@ -41,7 +41,7 @@
         return sender.name, payload
 
 
-async def pair() -> tuple[Transport, Transport]:
+async def start_pair() -> tuple[Transport, Transport]:
     port = free_port()
     one, other = Transport("one", Address("127.0.3.1", port)), Transport("other", Address("127.0.3.2", port))
     await one.start()
@@ -49,7 +49,7 @@
     return one, other
 
 
-def test_frames_are_cut_out_of_any_pieces() -> None:
+def test_decoder_reassembles_frames_from_any_chunk_size() -> None:
     messages = [b"", b"a", b"bc" * 1000]
     stream = b"".join(map(frame, messages))
     for size in (1, 3, len(stream)):
@@ -60,14 +60,14 @@
         assert found == messages
 
 
-def test_a_length_over_the_limit_is_an_error() -> None:
+def test_frame_length_over_limit_raises() -> None:
     with pytest.raises(FrameTooLargeError):
         list(FrameDecoder().feed((MAX_FRAME_BYTES + 1).to_bytes(4, "big")))
 
 
-def test_messages_come_in_order_and_answers_go_back_on_the_same_connection() -> None:
+def test_messages_arrive_in_order_and_answers_use_same_connection() -> None:
     async def work() -> None:
-        one, other = await pair()
+        one, other = await start_pair()
         inbox, answers = Inbox(other), Inbox(one, Channel.MEMBERSHIP)
         for number in range(100):
             one.send(other.listen, Channel.REPLICATION, str(number).encode())
@@ -82,9 +82,9 @@
     run(work())
 
 
-def test_an_idle_connection_is_closed_and_opened_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connection_is_closed_and_reopened_on_send(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
-        one, other = await pair()
+        one, other = await start_pair()
         inbox = Inbox(other)
         closed = asyncio.Event()
         other.register_disconnects(lambda address: closed.set())
@@ -103,9 +103,9 @@
     run(work())
 
 
-def test_a_large_message_passes_and_a_slow_reader_does_not_hold_up_others() -> None:
+def test_large_message_arrives_while_another_peer_reads_nothing() -> None:
     async def work() -> None:
-        one, other = await pair()
+        one, other = await start_pair()
         inbox = Inbox(other)
         with socket.socket() as silent:  # the kernel accepts connections, but nobody reads from them
             silent.bind(("127.0.3.3", one.listen.port))
@@ -121,9 +121,9 @@
     run(work())
 
 
-def test_an_address_that_says_nothing_costs_a_bounded_queue(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_queue_to_unresponsive_address_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
-        one, other = await pair()
+        one, other = await start_pair()
         hung = asyncio.Event()
 
         async def hang(address: Address) -> None:
@@ -141,7 +141,7 @@
     run(work())
 
 
-def test_a_peer_that_starts_later_is_reached_and_failures_are_told() -> None:
+def test_late_peer_is_reached_and_failures_are_reported() -> None:
     async def work() -> None:
         port = free_port()
         one = Transport("one", Address("127.0.3.1", port))
@@ -164,15 +164,15 @@
     run(work())
 
 
-def test_a_datagram_from_a_peer_ends_the_back_off(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_datagram_from_peer_ends_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         monkeypatch.setattr(peer_link, "MIN_BACKOFF_S", 1_000.0)
         monkeypatch.setattr(peer_link, "MAX_BACKOFF_S", 1_000.0)
         port = free_port()
         one = Transport("one", Address("127.0.3.1", port))
-        failed, heard = asyncio.Event(), asyncio.Event()
+        failed, received = asyncio.Event(), asyncio.Event()
         one.register_disconnects(lambda address: failed.set())
-        one.register_datagrams(lambda sender, payload: heard.set())
+        one.register_datagrams(lambda sender, payload: received.set())
         await one.start()
         target = Address("127.0.3.2", port)
         one.send(target, Channel.REPLICATION, b"lost")
@@ -182,7 +182,7 @@
         await other.start()
         one.send(target, Channel.REPLICATION, b"waits")
         other.send_datagram(one.listen, b"here")
-        await heard.wait()
+        await received.wait()
         assert await inbox.next() == ("one", b"waits")
         await one.stop()
         await other.stop()
@@ -200,11 +200,11 @@
             envelope_pb2.Hello(magic=connection.MAGIC, protocol_version=99, node="x", listen_port=1).SerializeToString()
         ),
     ],
-    ids=["http", "damaged", "magic", "version"],
+    ids=["http", "undecodable_hello", "wrong_magic", "unsupported_version"],
 )
-def test_foreign_connections_are_closed_and_counted(data: bytes) -> None:
+def test_connection_with_invalid_hello_is_closed_and_counted(data: bytes) -> None:
     async def work() -> None:
-        one, other = await pair()
+        one, other = await start_pair()
         reader, writer = await asyncio.open_connection(one.listen.host, one.listen.port)
         writer.write(data)
         with pytest.raises(ConnectionResetError):
@@ -239,7 +239,7 @@
     return ClusterNode(settings, is_control)
 
 
-async def until(nodes: list[ClusterNode], condition: Callable[[], bool]) -> None:
+async def wait_until(nodes: list[ClusterNode], condition: Callable[[], bool]) -> None:
     """Wait until `condition` is true, checking again after each change of a node's item table."""
     changed = asyncio.Event()
     for each in nodes:
@@ -249,45 +249,45 @@
         await changed.wait()
 
 
-def with_nodes(work: Callable[[list[ClusterNode]], Awaitable[None]]) -> None:
-    async def whole() -> None:
+def run_with_nodes(work: Callable[[list[ClusterNode]], Awaitable[None]]) -> None:
+    async def start_and_run() -> None:
         port = free_port()
         nodes = [node(number, port, is_control=number <= 3) for number in range(1, 6)]
         for each in nodes:
             await each.start()
-        await until(nodes, lambda: all(len(node.members()) == len(nodes) for node in nodes))
+        await wait_until(nodes, lambda: all(len(node.members()) == len(nodes) for node in nodes))
         await work(nodes)
         for each in nodes:
             await each.stop()
 
-    run(whole())
+    run(start_and_run())
 
 
-def test_nodes_find_each_other_and_share_items() -> None:
+def test_nodes_discover_each_other_and_share_items() -> None:
     async def work(nodes: list[ClusterNode]) -> None:
         assert all(len(node.control_nodes()) == 3 for node in nodes)
         assert all(node.parent is not None for node in nodes[3:])
         item = Item(ItemKind.CONFIGURATION, "current", Version(1), bytes(3 << 20))
         nodes[0].publish([item])
-        await until(nodes, lambda: all(node.table.get(item.kind, item.key) == item for node in nodes))
+        await wait_until(nodes, lambda: all(node.table.get(item.kind, item.key) == item for node in nodes))
 
-    with_nodes(work)
+    run_with_nodes(work)
 
 
-def test_readiness_and_leaving_are_told() -> None:
+def test_readiness_and_departure_reach_other_nodes() -> None:
     async def work(nodes: list[ClusterNode]) -> None:
         nodes[4].set_ready(True)
-        await until(nodes, lambda: all(any(member.ready for member in node.members()) for node in nodes))
+        await wait_until(nodes, lambda: all(any(member.ready for member in node.members()) for node in nodes))
         ready = next(member for member in nodes[0].members() if member.ready)
         assert (ready.name, ready.front) == ("node-5", "127.0.4.5:80")
         assert nodes[0].peer_address(ready) == nodes[4].address
         nodes[4].leave()
-        await until(nodes, lambda: all(len(node.members()) == 4 for node in nodes[:4]))
+        await wait_until(nodes, lambda: all(len(node.members()) == 4 for node in nodes[:4]))
 
-    with_nodes(work)
+    run_with_nodes(work)
 
 
-def test_a_write_is_confirmed_by_a_majority_and_never_without_one() -> None:
+def test_write_is_confirmed_only_with_majority() -> None:
     async def work(nodes: list[ClusterNode]) -> None:
         item = Item(ItemKind.WORKER, "w1", Version(1), b"worker")
         nodes[0].publish([item])
@@ -300,10 +300,10 @@
             await each.stop()
         assert not await nodes[0].write([item], within_s=0.2)
 
-    with_nodes(work)
+    run_with_nodes(work)
 
 
-def test_loss_of_contact_is_logged_once_and_so_is_its_return(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lost_and_regained_contact_are_each_logged_once(monkeypatch: pytest.MonkeyPatch) -> None:
     lines: list[str] = []
     monkeypatch.setattr(node_module.log, "warning", lambda text, *values: lines.append("lost " + text.format(*values)))
     monkeypatch.setattr(node_module.log, "info", lambda text, *values: lines.append("back " + text.format(*values)))
@@ -318,15 +318,15 @@
     ]
 
 
-def test_a_restarted_control_node_gets_what_the_others_hold() -> None:
+def test_restarted_control_node_receives_items_of_other_nodes() -> None:
     async def work(nodes: list[ClusterNode]) -> None:
         item = Item(ItemKind.CONFIGURATION, "current", Version(7), b"configuration")
         nodes[0].publish([item])
-        await until(nodes, lambda: all(node.table.get(item.kind, item.key) == item for node in nodes))
+        await wait_until(nodes, lambda: all(node.table.get(item.kind, item.key) == item for node in nodes))
         await nodes[0].stop()
         port = nodes[0].address.port
         nodes[0] = node(1, port, is_control=True)
         await nodes[0].start()
-        await until(nodes, lambda: nodes[0].table.get(item.kind, item.key) == item)
+        await wait_until(nodes, lambda: nodes[0].table.get(item.kind, item.key) == item)
 
-    with_nodes(work)
+    run_with_nodes(work)
--- a/tests/distribution/test_cluster_tree.py
+++ b/tests/distribution/test_cluster_tree.py
@@ -14,7 +14,7 @@
 from tests.support.cluster_network import MS, SECOND, Host, Network
 
 
-def place(name: str, region: str, zone: str, is_control: bool = False) -> NodeLocation:
+def make_location(name: str, region: str, zone: str, is_control: bool = False) -> NodeLocation:
     return NodeLocation(name, Address(name, 1), zone, region, is_control)
 
 
@@ -34,20 +34,24 @@
 # --- choice of parents ----------------------------------------------------------------------------
 
 
-def test_a_small_region_attaches_to_control_nodes_the_nearest_first() -> None:
-    places = [place(f"e{number}", "r1", "z1") for number in range(FANOUT)]
-    places += [place("c1", "r1", "z2", True), place("c2", "r2", "z3", True), place("c3", "r1", "z1", True)]
-    order = parent_order(places[0], places, [Address("seed", 1)])
+def test_small_region_attaches_to_nearest_control_node_first() -> None:
+    locations = [make_location(f"e{number}", "r1", "z1") for number in range(FANOUT)]
+    locations += [
+        make_location("c1", "r1", "z2", True),
+        make_location("c2", "r2", "z3", True),
+        make_location("c3", "r1", "z1", True),
+    ]
+    order = parent_order(locations[0], locations, [Address("seed", 1)])
     assert [name.host for name in order] == ["c3", "c1", "c2", "seed"]
 
 
-def test_a_large_region_has_relays_and_the_others_attach_to_them() -> None:
-    places = [place(f"e{number}", "r1", f"z{number % 2}") for number in range(40)]
-    places.append(place("c", "r2", "z9", True))
-    relays = relays_of("r1", places)
+def test_large_region_attaches_to_relays_of_same_zone() -> None:
+    locations = [make_location(f"e{number}", "r1", f"z{number % 2}") for number in range(40)]
+    locations.append(make_location("c", "r2", "z9", True))
+    relays = relays_of("r1", locations)
     assert len(relays) == 6
-    for each in places[:40]:
-        first = parent_order(each, places, [])[0]
+    for each in locations[:40]:
+        first = parent_order(each, locations, [])[0]
         if each in relays:
             assert first.host == "c"
         else:
@@ -55,11 +59,11 @@
             assert parent.zone == each.zone
 
 
-def test_relays_change_little_when_a_node_goes() -> None:
-    places = [place(f"e{number}", "r1", "z1") for number in range(80)]
-    before = {relay.key for relay in relays_of("r1", places)}
-    lost = next(place for place in places if place.key in before)
-    after = {relay.key for relay in relays_of("r1", [place for place in places if place is not lost])}
+def test_departed_relay_is_replaced_and_other_relays_stay() -> None:
+    locations = [make_location(f"e{number}", "r1", "z1") for number in range(80)]
+    before = {relay.key for relay in relays_of("r1", locations)}
+    lost = next(location for location in locations if location.key in before)
+    after = {relay.key for relay in relays_of("r1", [location for location in locations if location is not lost])}
     assert len(before - after - {lost.key}) == 0
     assert len(after - before) <= 1
 
@@ -67,19 +71,19 @@
 # --- distribution ---------------------------------------------------------------------------------
 
 
-def test_a_change_reaches_a_small_fleet_at_once() -> None:
+def test_item_of_control_node_reaches_small_fleet_within_120_ms() -> None:
     network, controls, _ = small_fleet()
     item = network.publish(controls[0], 1)
     assert network.run_until(lambda: network.have(network.running(), item), SECOND) <= 120 * MS
 
 
-def test_what_an_edge_publishes_reaches_all() -> None:
+def test_item_of_edge_reaches_small_fleet_within_150_ms() -> None:
     network, _, edges = small_fleet()
     item = network.publish(edges[3], 1)
     assert network.run_until(lambda: network.have(network.running(), item), SECOND) <= 150 * MS
 
 
-def test_contact_with_the_control_nodes_is_known_soon_after_the_start_and_lost_by_a_cut() -> None:
+def test_contact_is_gained_soon_after_start_and_lost_during_partition() -> None:
     network = Network()
     controls, edges = network.fleet(regions=3, edges=7)
     network.run_until(lambda: all(host.core.has_majority(network.now) for host in network.running()), 300 * MS)
@@ -89,7 +93,7 @@
     assert all(control.core.has_majority(network.now) for control in controls)
 
 
-def test_a_silent_parent_is_replaced_and_the_change_still_comes() -> None:
+def test_parent_without_power_is_replaced_and_item_still_arrives() -> None:
     network, controls, edges = small_fleet()
     network.lose_power(controls[0])
     item = network.publish(controls[1], 1)
@@ -97,14 +101,14 @@
     assert all(parent_of(network, edge) in controls[1:] for edge in edges)
 
 
-def test_a_killed_parent_is_replaced_without_waiting_for_its_silence() -> None:
+def test_killed_parent_is_replaced_within_300_ms() -> None:
     network, controls, edges = small_fleet()
     network.kill(controls[0])
     network.run_until(lambda: all(parent_of(network, edge) in controls[1:] for edge in edges), 300 * MS)
 
 
 @pytest.mark.parametrize("direction", ["down", "up"])
-def test_a_parent_that_is_cut_off_one_way_is_replaced(direction: str) -> None:
+def test_parent_cut_off_in_one_direction_is_replaced(direction: str) -> None:
     network, controls, _ = small_fleet()
     others = [host for host in network.running() if host is not controls[0]]
     if direction == "down":
@@ -115,7 +119,7 @@
     network.run_until(lambda: network.have(others, item), 3 * SECOND)
 
 
-def test_the_preferred_parent_is_taken_again_when_it_is_back() -> None:
+def test_preferred_parent_is_chosen_again_after_partition() -> None:
     network, controls, edges = small_fleet()
     preferred = {edge.address: parent_of(network, edge) for edge in edges}
     network.cut_both_ways([controls[0]], [host for host in network.running() if host is not controls[0]])
@@ -124,14 +128,14 @@
     network.run_until(lambda: all(parent_of(network, edge) is preferred[edge.address] for edge in edges), 12 * SECOND)
 
 
-def test_a_control_node_without_its_peers_keeps_no_child_that_can_find_a_better_one() -> None:
+def test_children_leave_control_node_that_lost_its_peers() -> None:
     network, controls, edges = small_fleet()
     network.cut_both_ways([controls[0]], controls[1:])
     item = network.publish(controls[1], 1)
     network.run_until(lambda: network.have([*edges, *controls[1:]], item), 4 * SECOND)
 
 
-def test_an_isolated_region_goes_on_and_meets_the_others_again() -> None:
+def test_isolated_region_catches_up_after_partition_heals() -> None:
     network, controls, _edges = small_fleet()
     region = [host for host in network.running() if host.member.region == "region-0"]
     others = [host for host in network.running() if host.member.region != "region-0"]
@@ -145,7 +149,7 @@
     network.run_until(lambda: network.all_know(network.running()), 3 * SECOND)
 
 
-def test_a_restarted_control_node_takes_over_what_the_others_hold() -> None:
+def test_restarted_control_node_receives_current_item() -> None:
     network, controls, _ = small_fleet()
     item = network.publish(controls[0], 5)
     network.run(SECOND)
@@ -155,7 +159,7 @@
     network.run_until(lambda: network.have(network.running(), item), SECOND)
 
 
-def test_the_scrub_finds_a_lost_push() -> None:
+def test_anti_entropy_repairs_lost_push() -> None:
     network, controls, edges = small_fleet()
     lost: list[Message] = []
 
@@ -190,7 +194,7 @@
     assert lost
 
 
-def test_a_node_behind_a_choked_link_stays_attached() -> None:
+def test_node_behind_slow_link_stays_attached() -> None:
     network, controls, edges = small_fleet()
     network.choke(edges[0], 800 * MS)
     network.run(10 * SECOND)
@@ -201,7 +205,7 @@
     assert edges[0].core.distribution.link.changes - before <= 4
 
 
-def test_a_process_that_stood_still_keeps_its_parent_and_judges_nobody() -> None:
+def test_stalled_process_keeps_its_parent_and_suspects_nobody() -> None:
     network, controls, edges = small_fleet()
     parent = parent_of(network, edges[0])
     others = [host for host in network.running() if host is not edges[0]]
@@ -215,7 +219,7 @@
     assert [other.core.own.member.incarnation for other in others] == before
 
 
-def test_read_repair_asks_for_a_newer_version() -> None:
+def test_read_repair_fetches_newer_version() -> None:
     network, controls, edges = small_fleet()
     network.lose_message = lambda source, target, message: isinstance(message, Update) and target == edges[0].address
     item = network.publish(controls[0], 1)
@@ -226,7 +230,7 @@
     network.run_until(lambda: network.have([edges[0]], item), 500 * MS)
 
 
-def test_tombstones_reach_all_and_are_forgotten() -> None:
+def test_tombstones_reach_all_nodes_and_expire() -> None:
     network, controls, edges = small_fleet()
     worker = Item(ItemKind.WORKER, "w1", Version(1), b"worker")
     network.publish(controls[0], 1)
@@ -241,7 +245,7 @@
     assert all(host.core.table.get(ItemKind.WORKER, "w1") is None for host in network.running())
 
 
-def test_calm_costs_little() -> None:
+def test_idle_traffic_stays_within_byte_budget() -> None:
     network, _, edges = small_fleet()
     before = {edge.address: edge.bytes_sent for edge in network.running()}
     network.run(10 * SECOND)
@@ -251,7 +255,7 @@
     assert parents < 10 * 1_000 * len(edges)
 
 
-def test_a_large_fleet_starts_and_hears_of_changes_within_a_second() -> None:
+def test_large_fleet_receives_items_within_bound_also_after_relay_loss() -> None:
     network = Network()
     controls, edges = network.fleet(regions=3, edges=350)
     network.run_until(lambda: network.all_know(network.running()), 10 * SECOND)
@@ -273,7 +277,7 @@
     cuts=st.lists(st.tuples(st.integers(0, 9), st.integers(0, 9), st.integers(1, 3_000)), max_size=8),
     publishers=st.lists(st.integers(0, 9), min_size=1, max_size=6),
 )
-def test_adoption_is_monotone_and_all_agree_after_any_trouble(
+def test_adopted_versions_only_grow_and_nodes_agree_after_any_partitions(
     seed: int, cuts: list[tuple[int, int, int]], publishers: list[int]
 ) -> None:
     network = Network(seed=seed, datagram_loss=0.02)
--- a/tests/distribution/test_documents.py
+++ b/tests/distribution/test_documents.py
@@ -37,26 +37,26 @@
     return Document.of({key: value.encode() for key, value in entries.items()})
 
 
-def edited(chance: random.Random, before: Document) -> Document:
+def random_edit(rng: random.Random, before: Document) -> Document:
     """Return a copy of the document with one to four random entries changed, added or removed."""
     entries = dict(before.entries)
-    for _ in range(chance.randrange(1, 5)):
-        key = f"key-{chance.randrange(20)}"
-        if chance.random() < 0.3:
+    for _ in range(rng.randrange(1, 5)):
+        key = f"key-{rng.randrange(20)}"
+        if rng.random() < 0.3:
             entries.pop(key, None)
         else:
-            entries[key] = bytes([chance.randrange(4)])
+            entries[key] = bytes([rng.randrange(4)])
     return Document.of(entries)
 
 
 # --- documents ------------------------------------------------------------------------------------------------------
 
 
-def test_a_delta_leads_to_the_same_document_and_digest() -> None:
-    chance = random.Random(1)
+def test_applied_delta_yields_same_document() -> None:
+    rng = random.Random(1)
     held = Document()
     for _ in range(300):
-        wanted = edited(chance, held)
+        wanted = random_edit(rng, held)
         keys = wanted.changed_keys(held)
         assert keys == {
             key for key in held.entries.keys() | wanted.entries.keys()
@@ -66,12 +66,12 @@
         assert held == wanted
 
 
-def test_keys_and_values_do_not_run_into_each_other() -> None:
+def test_digest_distinguishes_keys_from_values() -> None:
     assert document(ab="c").digest != document(a="bc").digest
     assert document(a="x", b="y").digest != document(a="y", b="x").digest
 
 
-def test_a_configuration_has_an_entry_for_each_named_item() -> None:
+def test_configuration_document_has_one_entry_per_named_item() -> None:
     route = {"name": "r", "host": "A.example", "prefix": "/a/", "service": "s"}
     configuration = {"generation": 3, "routes": [route], "services": [{"name": "s"}], "limits": {"max_body_bytes": 9}}
     made = document_of(configuration)
@@ -85,7 +85,7 @@
 # --- history --------------------------------------------------------------------------------------------------------
 
 
-def test_a_history_merges_the_changes_since_a_base() -> None:
+def test_history_merges_changes_since_base() -> None:
     history = DocumentHistory()
     steps = [document(a="1"), document(a="1", b="1"), document(a="2", b="1"), document(b="1")]
     for number, (old, new) in enumerate(itertools.pairwise(steps)):
@@ -95,7 +95,7 @@
     assert history.keys_since(Version(7)) is None
 
 
-def test_a_history_is_bounded() -> None:
+def test_history_is_bounded() -> None:
     history = DocumentHistory()
     for number in range(2 * MAX_CHANGES):
         history.note(Version(number), document(a=str(number)), document(a=str(number + 1)))
@@ -113,7 +113,7 @@
     return sender
 
 
-def test_who_holds_a_known_base_is_sent_what_changed_since() -> None:
+def test_known_base_is_answered_with_delta() -> None:
     sender = sender_with(document(a="1", b="1"), document(a="1", b="2"), document(b="2"))
     chunk = sender.answer(DocumentRequest(Version(1)))
     assert chunk is not None
@@ -122,7 +122,7 @@
     assert sender.answer(DocumentRequest(Version(3))) is None
 
 
-def test_who_holds_an_unknown_base_or_none_is_sent_the_whole() -> None:
+def test_unknown_or_missing_base_is_answered_with_full_copy() -> None:
     sender = sender_with(document(a="1"), document(a="2"))
     for held in (None, Version(0, 5)):
         chunk = sender.answer(DocumentRequest(held))
@@ -131,23 +131,23 @@
         assert chunk.delta == DocumentDelta({"a": b"2"})
 
 
-def test_a_large_document_goes_in_chunks_of_bounded_size() -> None:
+def test_large_document_is_sent_in_chunks_of_bounded_size() -> None:
     large = Document.of({f"key-{number}": bytes(20_000) for number in range(20)})
     sender, receiver = sender_with(large), DocumentReceiver()
     request = receiver.on_offer(0, PARENT, Version(1))
-    chunks, taken = 0, None
+    chunks, received_document = 0, None
     while request is not None:
         chunk = sender.answer(request)
         assert chunk is not None
         assert sum(map(len, chunk.delta.changed.values())) <= document_sender.MAX_CHUNK_BYTES
         received = receiver.on_chunk(chunks, PARENT, chunk)
-        request, taken = received.request, received.document
+        request, received_document = received.request, received.document
         chunks += 1
     assert chunks == 5
-    assert taken == VersionedDocument(Version(1), large)
+    assert received_document == VersionedDocument(Version(1), large)
 
 
-def test_a_transfer_that_was_begun_is_finished_after_the_document_changed() -> None:
+def test_started_transfer_finishes_after_document_changed() -> None:
     large = Document.of({f"key-{number}": bytes(50_000) for number in range(4)})
     sender, receiver = sender_with(large), DocumentReceiver()
     request = receiver.on_offer(0, PARENT, Version(1))
@@ -169,7 +169,7 @@
     assert received.request == DocumentRequest(Version(1))
 
 
-def test_a_wrong_digest_is_followed_by_the_whole() -> None:
+def test_digest_mismatch_is_followed_by_request_for_full_copy() -> None:
     sender, receiver = sender_with(document(a="1"), document(a="2")), DocumentReceiver()
     receiver.hold(Version(1), document(a="1"))
     request = receiver.on_offer(0, PARENT, Version(2))
@@ -185,21 +185,21 @@
     assert receiver.on_chunk(0, PARENT, whole).document == VersionedDocument(Version(2), document(a="2"))
 
 
-def test_a_lost_piece_is_asked_for_again_after_a_while() -> None:
+def test_lost_chunk_is_requested_again_after_timeout() -> None:
     receiver = DocumentReceiver()
     assert receiver.on_offer(0, PARENT, Version(1)) is not None
     assert receiver.on_offer(CHUNK_TIMEOUT_NS - 1, OTHER, Version(1)) is None
     assert receiver.on_offer(CHUNK_TIMEOUT_NS, OTHER, Version(1)) is not None
 
 
-def test_a_sender_that_is_gone_is_not_waited_for() -> None:
+def test_transfer_restarts_from_other_sender_after_disconnect() -> None:
     receiver = DocumentReceiver()
     receiver.on_offer(0, PARENT, Version(1))
     receiver.on_disconnected(PARENT)
     assert receiver.on_offer(1, OTHER, Version(1)) is not None
 
 
-def test_the_number_of_the_newest_travels_ahead() -> None:
+def test_newest_version_number_is_announced_before_document_arrives() -> None:
     exchange = DocumentExchange()
     assert exchange.note_newest(4) == Announce(0, 4)
     assert exchange.note_newest(4) is None
@@ -208,7 +208,7 @@
     assert not exchange.is_behind
 
 
-def test_who_announces_an_older_one_is_told_of_the_newer_and_no_circle_begins() -> None:
+def test_older_announcement_is_answered_once_with_newer_version() -> None:
     exchange = DocumentExchange()
     exchange.on_items([Item(ItemKind.CONFIGURATION, "current", Version(4), document=document(a="1"))])
     assert exchange.on_offer(0, PARENT, Announce(3, 3)) == (Announce(4, 4),)
@@ -226,7 +226,7 @@
         DocumentChunk(TransferId(Version(4), Version(2)), 2, 3, 1 << 127, DocumentDelta({})),
     ],
 )
-def test_messages_survive_their_encoding(message: DocumentMessage) -> None:
+def test_messages_round_trip_through_codec(message: DocumentMessage) -> None:
     assert codec.decode(codec.encode(message)) == message
 
 
@@ -247,7 +247,7 @@
         self.exchange.on_items([Item(ItemKind.CONFIGURATION, "current", held.version, document=held.document)])
 
 
-class MixtureError(AssertionError):
+class ModelViolationError(AssertionError):
     """A node adopted a document that was never published or is not newer, or missed the newest document."""
 
 
@@ -255,69 +255,69 @@
     """A source that edits its document, and a chain of nodes that each fetch the document from the node before."""
 
     def __init__(self, seed: int, length: int = 3) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.now = 0
         self.nodes = [Node() for _ in range(length)]
         self.published: dict[Version, Document] = {}
-        self.ways: list[tuple[int, int, DocumentMessage]] = []
+        self.in_flight: list[tuple[int, int, DocumentMessage]] = []
 
     def run(self, steps: int) -> None:
         for _ in range(steps):
-            self.step(trouble=True)
+            self.step(with_faults=True)
         for _ in range(400):
-            self.step(trouble=False)
+            self.step(with_faults=False)
         newest = max(self.published)
         if any(node.held is None or node.held.version != newest for node in self.nodes):
-            raise MixtureError("not every node adopted the newest document after the faults ended")
+            raise ModelViolationError("not every node adopted the newest document after the faults ended")
 
-    def step(self, trouble: bool) -> None:
+    def step(self, with_faults: bool) -> None:
         self.now += CHUNK_TIMEOUT_NS // 20
-        chance = self.chance
-        if (trouble and chance.random() < 0.15) or not self.published:
+        rng = self.rng
+        if (with_faults and rng.random() < 0.15) or not self.published:
             self.publish()
-        if trouble and chance.random() < 0.02:
-            self.nodes[chance.randrange(1, len(self.nodes))] = Node()  # the process restarts without a document
+        if with_faults and rng.random() < 0.02:
+            self.nodes[rng.randrange(1, len(self.nodes))] = Node()  # the process restarts without a document
         for number, node in enumerate(self.nodes[:-1]):
-            if node.held is not None and chance.random() < 0.3:
-                self.send(number, number + 1, Announce(node.held.version.major, node.exchange.newest), trouble)
-        for _ in range(chance.randrange(6) if trouble else len(self.ways)):
-            if self.ways:
-                self.deliver(self.ways.pop(chance.randrange(len(self.ways)) if trouble else 0), trouble)
+            if node.held is not None and rng.random() < 0.3:
+                self.send(number, number + 1, Announce(node.held.version.major, node.exchange.newest), with_faults)
+        for _ in range(rng.randrange(6) if with_faults else len(self.in_flight)):
+            if self.in_flight:
+                self.deliver(self.in_flight.pop(rng.randrange(len(self.in_flight)) if with_faults else 0), with_faults)
 
     def publish(self) -> None:
         source = self.nodes[0]
         before = source.held.document if source.held is not None else Document()
         version = Version(len(self.published) + 1)
-        self.published[version] = edited(self.chance, before)
+        self.published[version] = random_edit(self.rng, before)
         source.hold(VersionedDocument(version, self.published[version]))
 
-    def send(self, source: int, target: int, message: DocumentMessage, trouble: bool) -> None:
-        copies = self.chance.choice((0, 1, 1, 1, 2)) if trouble else 1
-        self.ways += [(source, target, message)] * copies
+    def send(self, source: int, target: int, message: DocumentMessage, with_faults: bool) -> None:
+        copies = self.rng.choice((0, 1, 1, 1, 2)) if with_faults else 1
+        self.in_flight += [(source, target, message)] * copies
 
-    def deliver(self, way: tuple[int, int, DocumentMessage], trouble: bool) -> None:
-        source, target, message = way
+    def deliver(self, transmission: tuple[int, int, DocumentMessage], with_faults: bool) -> None:
+        source, target, message = transmission
         node, sender = self.nodes[target], Address(f"10.0.0.{source}", 1)
         match message:
             case Announce():
                 for answer in node.exchange.on_offer(self.now, sender, message):
-                    self.send(target, source, answer, trouble)
+                    self.send(target, source, answer, with_faults)
             case DocumentRequest():
                 chunk = node.exchange.on_request(message)
                 if chunk is not None:
-                    self.send(target, source, chunk, trouble)
+                    self.send(target, source, chunk, with_faults)
             case DocumentChunk():
                 received = node.exchange.on_chunk(self.now, sender, message)
                 if received.document is not None:
                     self.adopt(node, received.document)
                 if received.request is not None:
-                    self.send(target, source, received.request, trouble)
+                    self.send(target, source, received.request, with_faults)
 
     def adopt(self, node: Node, held: VersionedDocument) -> None:
         if node.adopted and held.version <= node.adopted[-1]:
-            raise MixtureError(f"adopted version {held.version} after version {node.adopted[-1]}")
+            raise ModelViolationError(f"adopted version {held.version} after version {node.adopted[-1]}")
         if self.published.get(held.version) != held.document:
-            raise MixtureError(f"the document adopted as version {held.version} differs from the published one")
+            raise ModelViolationError(f"the document adopted as version {held.version} differs from the published one")
         node.hold(held)
 
 
@@ -329,7 +329,7 @@
 
 @pytest.mark.usefixtures("small_chunks")
 @pytest.mark.parametrize("seed", range(60))
-def test_no_node_ever_holds_a_mixture_and_all_get_the_newest(seed: int) -> None:
+def test_nodes_adopt_only_published_documents_and_reach_newest(seed: int) -> None:
     Chain(seed).run(300)
 
 
@@ -361,45 +361,45 @@
     return DocumentChunk(TransferId(chunk.transfer.version, request.base), 0, 1, chunk.digest, delta)
 
 
-def never_the_whole(self: DocumentReceiver) -> Version | None:
+def always_request_delta(self: DocumentReceiver) -> Version | None:
     """Planted fault: requests a delta again after a digest mismatch, where a full copy is needed."""
     return None if self._stored is None else self._stored.version
 
 
-def take_older(self: DocumentReceiver, version: Version) -> bool:
+def accept_any_version(self: DocumentReceiver, version: Version) -> bool:
     """Planted fault: treats every offered version as newer than the stored one."""
     return True
 
 
-PLANTS: dict[str, list[tuple[object, str, Callable[..., object]]]] = {
-    "the digest is not looked at, and deltas are from the wrong base": [
+PLANTED_FAULTS: dict[str, list[tuple[object, str, Callable[..., object]]]] = {
+    "digest unchecked and deltas from a wrong base": [
         (DocumentReceiver, "_assemble", assemble_unchecked),
         (DocumentSender, "answer", delta_from_any_base),
     ],
-    "chunks are taken in any order, without a digest": [
+    "chunks accepted in any order and digest unchecked": [
         (DocumentReceiver, "_collect", collect_in_any_order),
         (DocumentReceiver, "_assemble", assemble_unchecked),
     ],
-    "the whole is never asked for": [
-        (DocumentReceiver, "_base", never_the_whole),
+    "full copy never requested": [
+        (DocumentReceiver, "_base", always_request_delta),
         (DocumentSender, "answer", delta_from_any_base),
     ],
-    "an older version is taken": [(DocumentReceiver, "_lacks", take_older)],
+    "older version accepted": [(DocumentReceiver, "_lacks", accept_any_version)],
 }
 
 
 @pytest.mark.usefixtures("small_chunks")
-@pytest.mark.parametrize("name", PLANTS)
-def test_the_model_finds_a_planted_fault(name: str) -> None:
+@pytest.mark.parametrize("name", PLANTED_FAULTS)
+def test_model_reveals_planted_fault(name: str) -> None:
     with ExitStack() as stack:
-        for owner, attribute, broken in PLANTS[name]:
+        for owner, attribute, broken in PLANTED_FAULTS[name]:
             stack.enter_context(mock.patch.object(owner, attribute, broken))
-        assert any(is_found(seed) for seed in range(60))
+        assert any(reveals_fault(seed) for seed in range(60))
 
 
-def is_found(seed: int) -> bool:
+def reveals_fault(seed: int) -> bool:
     try:
         Chain(seed).run(300)
-    except MixtureError:
+    except ModelViolationError:
         return True
     return False
--- a/tests/distribution/test_fast_start.py
+++ b/tests/distribution/test_fast_start.py
@@ -25,7 +25,7 @@
 from tests.support.free_ports import free_port
 
 
-def test_a_client_that_connects_and_asks_before_the_server_runs_is_answered() -> None:
+def test_request_sent_before_server_runs_is_answered() -> None:
     async def body() -> None:
         listener = open_listener(Address("127.0.0.1", 0))
         host, port = listener.getsockname()
@@ -40,7 +40,7 @@
     asyncio.run(body())
 
 
-def test_listeners_are_opened_by_the_settings_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_listeners_follow_settings_file_and_skip_ports_in_use(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     settings = tmp_path / "local.toml"
     monkeypatch.setenv(SETTINGS_VARIABLE, str(settings))
     assert open_listeners(("front",)) == {}
@@ -56,7 +56,7 @@
         opened["front"].close()
 
 
-def test_seeds_with_an_address_like_ours_are_asked_first_and_ties_keep_their_order() -> None:
+def test_seeds_sharing_address_prefix_come_first_and_ties_keep_order() -> None:
     seeds = [Address(host, 1) for host in ("10.2.0.9", "10.1.7.7", "10.1.0.9", "10.3.0.9")]
     ordered = likely_nearest(Address("10.1.0.4", 1), seeds)
     assert [name.host for name in ordered] == ["10.1.0.9", "10.1.7.7", "10.2.0.9", "10.3.0.9"]
@@ -72,7 +72,7 @@
     )  # fmt: skip
 
 
-def test_readiness_is_told_as_soon_as_the_first_worker_is_known(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_readiness_is_published_when_first_worker_is_known(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(readiness, "READINESS_CHECK_INTERVAL_S", 60.0)
 
     async def body() -> None:
--- a/tests/distribution/test_soft_state_explorer.py
+++ b/tests/distribution/test_soft_state_explorer.py
@@ -39,7 +39,7 @@
 from canvasbeam.runtime.settings import Address
 from canvasbeam.units import SECOND
 from tests.distribution.test_documents import assemble_unchecked
-from tests.support import soft_state_walk as trouble
+from tests.support import soft_state_walk as walk_faults
 from tests.support.soft_state_invariants import (
     AdoptionWentBackError,
     AnswerWithoutContactError,
@@ -54,13 +54,13 @@
 from tests.support.soft_state_walk import TroubleKind, Walk
 
 WALKS = int(os.environ.get("EXPLORER_WALKS", "12"))
-FIRST = int(os.environ.get("EXPLORER_FIRST", "0"))
-SPAN = 20 * SECOND
+FIRST_SEED = int(os.environ.get("EXPLORER_FIRST", "0"))
+WALK_DURATION_NS = 20 * SECOND
 WALKS_TO_FIND = 40
 
 
 @dataclass
-class Pace:
+class ExplorationTotals:
     """Totals over the walks of a test process: wall-clock seconds, walks, events and checked states."""
 
     seconds: float = 0.0
@@ -77,45 +77,45 @@
 
 
 @pytest.fixture(scope="module")
-def pace(request: pytest.FixtureRequest) -> Iterator[Pace]:
+def exploration_totals(request: pytest.FixtureRequest) -> Iterator[ExplorationTotals]:
     """Collect the totals over the walks of this process and print them after the last walk."""
-    pace = Pace()
-    yield pace
+    exploration_totals = ExplorationTotals()
+    yield exploration_totals
     capture = request.config.pluginmanager.getplugin("capturemanager")
     assert capture is not None
     with capture.global_and_fixture_disabled():
-        print(f"\n{pace}", file=sys.stderr)  # pytest-xdist passes on only stderr
+        print(f"\n{exploration_totals}", file=sys.stderr)  # pytest-xdist passes on only stderr
 
 
-def tell(seed: int) -> Walk:
+def run_walk(seed: int) -> Walk:
     """Run one walk; add its seed and its log of faults to the message of a violation."""
     walk = Walk(seed)
     try:
-        walk.run(SPAN)
+        walk.run(WALK_DURATION_NS)
     except ViolationError as violation:
-        story = "\n".join(walk.story)
-        raise type(violation)(f"EXPLORER_FIRST={seed} EXPLORER_WALKS=1: {violation}\n{story}") from violation
+        fault_log = "\n".join(walk.story)
+        raise type(violation)(f"EXPLORER_FIRST={seed} EXPLORER_WALKS=1: {violation}\n{fault_log}") from violation
     return walk
 
 
-@pytest.mark.parametrize("seed", range(FIRST, FIRST + WALKS))
-def test_a_walk(seed: int, pace: Pace) -> None:
+@pytest.mark.parametrize("seed", range(FIRST_SEED, FIRST_SEED + WALKS))
+def test_walk_violates_no_invariant(seed: int, exploration_totals: ExplorationTotals) -> None:
     began = time.perf_counter()
-    walk = tell(seed)
-    pace.seconds += time.perf_counter() - began
-    pace.walks += 1
-    pace.events += walk.events
-    pace.checks += walk.watch.checks
+    walk = run_walk(seed)
+    exploration_totals.seconds += time.perf_counter() - began
+    exploration_totals.walks += 1
+    exploration_totals.events += walk.events
+    exploration_totals.checks += walk.watch.checks
 
 
 # --- a walk is reproducible from its seed ---------------------------------------------------------------------------
 
 
-def test_a_walk_is_the_same_again() -> None:
+def test_walk_with_same_seed_repeats_exactly() -> None:
     assert trace(5) == trace(5)
 
 
-def test_steps_of_the_time_of_day_change_nothing() -> None:
+def test_wall_clock_jumps_do_not_change_walk() -> None:
     """Guards against code that reads the wall clock, which jumps here at each reading.
 
     A stall of a process shows in the monotonic clock.
@@ -131,7 +131,7 @@
 
 def trace(seed: int) -> list[object]:
     """Run a walk and return its number of events, log of faults, adopted versions and answers."""
-    walk = tell(seed)
+    walk = run_walk(seed)
     adopted = [(process.machine.name, tuple(process.adopted)) for process in walk.world.edges()]
     answers = [(call.number, call.began_at, str(result)) for call, result in walk.world.answers]
     return [walk.events, walk.story, adopted, answers]
@@ -140,7 +140,7 @@
 # --- planted faults -------------------------------------------------------------------------------------------------
 
 
-def contact_from_what_is_heard(self: NodeStanding) -> int | None:
+def contact_from_received_messages(self: NodeStanding) -> int | None:
     """Planted fault: a control node counts contact by received messages, even if its own messages reach nobody."""
     if not self._is_control:
         return self._relayed_lease.instant
@@ -164,7 +164,7 @@
     return now
 
 
-def take_any_version(self: ItemTable, item: Item) -> bool:
+def accept_any_version(self: ItemTable, item: Item) -> bool:
     """Planted fault: the table replaces an item by one of any other version, also an older one."""
     held = self._items.get(item.name)
     if held is not None and held.version == item.version:
@@ -174,12 +174,12 @@
     return True
 
 
-def list_everybody(self: MemberList, now: int, is_silent: Callable[[str], bool]) -> tuple[Member, ...]:
+def list_all_members(self: MemberList, now: int, is_silent: Callable[[str], bool]) -> tuple[Member, ...]:
     """Planted fault: the list of live members includes suspected and dead members."""
     return tuple(self._members.values())
 
 
-def tell_nothing(*_: object) -> Iterator[Message]:
+def answer_nothing(*_: object) -> Iterator[Message]:
     """Planted fault: a node does not answer digests that differ from its own."""
     return iter(())
 
@@ -192,15 +192,15 @@
     return 0 if kind is ItemKind.WORKER else REAL_DIGEST(self, kind)
 
 
-MOST_FIRST_SEQUENCE = 2  # heartbeat sequence number; up to here a worker's item is new to the nodes and is still pushed
+MAX_PUSHED_SEQUENCE = 2  # heartbeat sequence number; up to here a worker's item is new to the nodes and is still pushed
 REAL_SEND_ITEMS = Pushes._send_items
 
 
 def push_no_workers(self: Pushes, receivers: list[Address], pushed: list[Item]) -> None:
     """Planted fault: nodes do not push updates of known workers, so that only anti-entropy can deliver them."""
-    is_first = {item.name for item in pushed if item.version.major <= MOST_FIRST_SEQUENCE}
-    told = [item for item in pushed if item.kind is not ItemKind.WORKER or item.name in is_first]
-    REAL_SEND_ITEMS(self, receivers, told)
+    is_first = {item.name for item in pushed if item.version.major <= MAX_PUSHED_SEQUENCE}
+    allowed = [item for item in pushed if item.kind is not ItemKind.WORKER or item.name in is_first]
+    REAL_SEND_ITEMS(self, receivers, allowed)
 
 
 async def acknowledge_at_once(self: RegistryService, worker_id: str, document: dict[str, str]) -> Answer:
@@ -226,105 +226,111 @@
     return self._changes[-1].keys if self._changes else None
 
 
-Plant = Callable[[], AbstractContextManager[object]]
+PatchFactory = Callable[[], AbstractContextManager[object]]
 
 
 @dataclass(frozen=True)
-class Fault:
+class PlantedFault:
     """A planted fault: its patches, the violation that must reveal it, and the kinds of network fault to draw from."""
 
-    plants: tuple[Plant, ...]
-    found_as: type[ViolationError]
+    patches: tuple[PatchFactory, ...]
+    expected_violation: type[ViolationError]
     kinds: tuple[TroubleKind, ...] = ()
 
 
-def plant(owner: object, name: str, broken: object) -> Plant:
+def patch_attribute(owner: object, name: str, broken: object) -> PatchFactory:
     """Return a factory of a patch that replaces the attribute `name` of `owner` with `broken`."""
     return lambda: mock.patch.object(owner, name, broken)
 
 
-FAULTS: dict[str, Fault] = {
-    "contact from what is heard": Fault(
-        (plant(NodeStanding, "contact_instant", property(contact_from_what_is_heard)),),
+FAULTS: dict[str, PlantedFault] = {
+    "contact counted from received messages": PlantedFault(
+        (patch_attribute(NodeStanding, "contact_instant", property(contact_from_received_messages)),),
         VouchedWithoutContactError,
-        (trouble.a_control_is_cut_from_the_others,),
+        (walk_faults.a_control_is_cut_from_the_others,),
     ),
-    "a lease counted from receipt": Fault(
-        (plant(Distribution, "_on_lease_grant", lease_counted_from_receipt),),
+    "a lease counted from receipt": PlantedFault(
+        (patch_attribute(Distribution, "_on_lease_grant", lease_counted_from_receipt),),
         VouchedWithoutContactError,
-        (trouble.a_control_is_cut_from_the_others, trouble.a_process_stands_still),
+        (walk_faults.a_control_is_cut_from_the_others, walk_faults.a_process_stands_still),
     ),
-    "a keepalive counted from receipt": Fault(
-        (plant(PeerClocks, "sent_at", keepalive_counted_from_receipt),),
+    "a keepalive counted from receipt": PlantedFault(
+        (patch_attribute(PeerClocks, "sent_at", keepalive_counted_from_receipt),),
         VouchedWithoutContactError,
-        (trouble.any_sides_are_cut,),
+        (walk_faults.any_sides_are_cut,),
     ),
-    "a stale parent is kept": Fault(
-        (plant(ParentLink, "_is_stale", lambda self, now: False),),
+    "a stale parent is kept": PlantedFault(
+        (patch_attribute(ParentLink, "_is_stale", lambda self, now: False),),
         OldConfigurationError,
-        (trouble.a_control_is_cut_from_the_others,),
+        (walk_faults.a_control_is_cut_from_the_others,),
     ),
-    "adoption that goes back": Fault(
-        (plant(ItemTable, "_take", take_any_version),),
+    "older versions accepted": PlantedFault(
+        (patch_attribute(ItemTable, "_take", accept_any_version),),
         AdoptionWentBackError,
     ),
-    "removals that are not told, and no digest": Fault(
+    "delta without removals and digest unchecked": PlantedFault(
         (
-            plant(Document, "delta_of", delta_without_removals),
-            plant(DocumentReceiver, "_assemble", assemble_unchecked),
+            patch_attribute(Document, "delta_of", delta_without_removals),
+            patch_attribute(DocumentReceiver, "_assemble", assemble_unchecked),
         ),
         MixedConfigurationError,
     ),
-    "a history that forgets, and no digest": Fault(
+    "history of the last change only and digest unchecked": PlantedFault(
         (
-            plant(DocumentHistory, "keys_since", keys_of_last_change),
-            plant(DocumentReceiver, "_assemble", assemble_unchecked),
+            patch_attribute(DocumentHistory, "keys_since", keys_of_last_change),
+            patch_attribute(DocumentReceiver, "_assemble", assemble_unchecked),
         ),
         MixedConfigurationError,
-        (trouble.any_sides_are_cut, trouble.a_process_stands_still),
+        (walk_faults.any_sides_are_cut, walk_faults.a_process_stands_still),
     ),
-    "a directory that ignores suspicions": Fault(
-        (plant(MemberList, "alive", list_everybody), plant(MemberList, "_forget", lambda self, key: None)),
+    "a directory that ignores suspicions": PlantedFault(
+        (
+            patch_attribute(MemberList, "alive", list_all_members),
+            patch_attribute(MemberList, "_forget", lambda self, key: None),
+        ),
         EndedNodeNamedError,
-        (trouble.an_edge_loses_power,),
+        (walk_faults.an_edge_loses_power,),
     ),
-    "no scrub after a reconnect": Fault(
-        (plant(reconcile, "answer_digests", tell_nothing),),
+    "no anti-entropy after a reconnect": PlantedFault(
+        (patch_attribute(reconcile, "answer_digests", answer_nothing),),
         EmptyDirectoryError,
-        (trouble.a_control_restarts,),
+        (walk_faults.a_control_restarts,),
     ),
-    "neither pushes nor a scrub of workers": Fault(
-        (plant(ItemTable, "digest", digest_without_workers), plant(Pushes, "_send_items", push_no_workers)),
+    "neither pushes nor anti-entropy of workers": PlantedFault(
+        (
+            patch_attribute(ItemTable, "digest", digest_without_workers),
+            patch_attribute(Pushes, "_send_items", push_no_workers),
+        ),
         DrainedWorkerInUseError,
-        (trouble.an_edge_is_cut_from_a_control,),
+        (walk_faults.an_edge_is_cut_from_a_control,),
     ),
-    "a worker's end acknowledged at once": Fault(
-        (plant(RegistryService, "_acknowledge_end", acknowledge_at_once),),
+    "a worker's end acknowledged at once": PlantedFault(
+        (patch_attribute(RegistryService, "_acknowledge_end", acknowledge_at_once),),
         AnswerWithoutContactError,
-        (trouble.a_control_is_cut_from_the_others,),
+        (walk_faults.a_control_is_cut_from_the_others,),
     ),
-    "a read without confirmation": Fault(
-        (plant(Primary, "read", reply_without_confirmation),),
+    "a read without confirmation": PlantedFault(
+        (patch_attribute(Primary, "read", reply_without_confirmation),),
         AnswerWithoutContactError,
-        (trouble.a_control_is_cut_from_the_others,),
+        (walk_faults.a_control_is_cut_from_the_others,),
     ),
 }
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_walks_find_a_planted_fault(name: str) -> None:
+def test_walks_reveal_planted_fault(name: str) -> None:
     fault = FAULTS[name]
     with ExitStack() as stack:
-        for each in fault.plants:
+        for each in fault.patches:
             stack.enter_context(each())
-        assert any(finds(seed, fault) for seed in range(WALKS_TO_FIND))
+        assert any(reveals_fault(seed, fault) for seed in range(WALKS_TO_FIND))
 
 
-def finds(seed: int, fault: Fault) -> bool:
+def reveals_fault(seed: int, fault: PlantedFault) -> bool:
     """Return True if the walk of this seed ends in the violation that the planted fault must cause."""
     try:
-        Walk(seed, kinds=fault.kinds).run(SPAN)
-    except fault.found_as:
+        Walk(seed, kinds=fault.kinds).run(WALK_DURATION_NS)
+    except fault.expected_violation:
         return True
     except ViolationError:
         return False
--- a/tests/distribution/test_soft_state_scenarios.py
+++ b/tests/distribution/test_soft_state_scenarios.py
@@ -26,18 +26,18 @@
 from tests.support.soft_state_world import Drained, Machine, Process, Shape, World
 
 STEP = 50 * MILLISECOND
-LONG_CUT = 20 * SECOND
-ORDER_EVERY = 10  # simulation steps between two changes by the operator
+CUT_DURATION_NS = 20 * SECOND
+CHANGE_INTERVAL_STEPS = 10  # simulation steps between two changes by the operator
 
 
-class Story:
+class Scenario:
     """A running world with its invariants; while time passes, an operator reads and changes state at the primary."""
 
     def __init__(self, shape: Shape | None = None) -> None:
         self.world = World(1, shape or Shape())
         self.watch = Invariants(self.world)
         self._steps = 0
-        self._orders = 0
+        self._change_count = 0
         self.world.begin()
         self.run(6 * SECOND)
 
@@ -47,15 +47,15 @@
             self.world.run(STEP)
             self.watch.check()
             self._steps += 1
-            if self._steps % ORDER_EVERY == 0:
-                self._order()
+            if self._steps % CHANGE_INTERVAL_STEPS == 0:
+                self._submit_change()
 
-    def _order(self) -> None:
+    def _submit_change(self) -> None:
         leader = self.world.primary()
         if leader is not None:
             self.world.read(leader)
-            self._orders += 1
-            self.world.order(leader, f"order {self._orders}".encode("ascii"), self.world.generation)
+            self._change_count += 1
+            self.world.order(leader, f"order {self._change_count}".encode("ascii"), self.world.generation)
 
     def machine(self, name: str) -> Machine:
         return self.world.machines[name]
@@ -84,128 +84,130 @@
 
 
 @pytest.mark.parametrize("passage", [Passage.LOSING, Passage.HOLDING], ids=["lost", "held"])
-@pytest.mark.parametrize("way", ["mute", "deaf", "both"])
-@pytest.mark.parametrize("who", ["the primary", "another"])
-def test_one_of_three_is_cut_from_the_others_for_twenty_seconds(who: str, way: str, passage: Passage) -> None:
-    is_cut_for_twenty_seconds(Story(Shape(controls=3)), who, way, passage)
+@pytest.mark.parametrize("direction", ["mute", "deaf", "both"])
+@pytest.mark.parametrize("target_role", ["the primary", "another"])
+def test_three_control_machines_tolerate_one_cut_off_for_twenty_seconds(
+    target_role: str, direction: str, passage: Passage
+) -> None:
+    cut_for_twenty_seconds(Scenario(Shape(controls=3)), target_role, direction, passage)
 
 
-@pytest.mark.parametrize("way", ["mute", "deaf", "both"])
-def test_one_of_five_is_cut_from_the_others_for_twenty_seconds(way: str) -> None:
-    is_cut_for_twenty_seconds(Story(Shape(controls=5)), "the primary", way, Passage.HOLDING)
+@pytest.mark.parametrize("direction", ["mute", "deaf", "both"])
+def test_five_control_machines_tolerate_one_cut_off_for_twenty_seconds(direction: str) -> None:
+    cut_for_twenty_seconds(Scenario(Shape(controls=5)), "the primary", direction, Passage.HOLDING)
 
 
-def is_cut_for_twenty_seconds(story: Story, who: str, way: str, passage: Passage) -> None:
+def cut_for_twenty_seconds(scenario: Scenario, target_role: str, direction: str, passage: Passage) -> None:
     """Cut one control machine off and check the others and the edges.
 
     The edges choose other parents, changes go on at the other control machines, and the cut-off control machine
     neither claims contact with a majority nor answers.
     """
-    primary = story.primary_machine()
-    cut = primary if who == "the primary" else story.control_machines(primary)[0]
-    others = story.control_machines(cut)
-    begun = story.world.now
-    if way in ("mute", "both"):
-        story.world.cut([cut], others, passage)
-    if way in ("deaf", "both"):
-        story.world.cut(others, [cut], passage)
-    story.run(LONG_CUT)
-    assert story.acknowledged_since(begun + 3 * SECOND) > 10
-    story.assert_all_are_up_to_date(story.world.edges())
+    primary = scenario.primary_machine()
+    cut = primary if target_role == "the primary" else scenario.control_machines(primary)[0]
+    others = scenario.control_machines(cut)
+    begun = scenario.world.now
+    if direction in ("mute", "both"):
+        scenario.world.cut([cut], others, passage)
+    if direction in ("deaf", "both"):
+        scenario.world.cut(others, [cut], passage)
+    scenario.run(CUT_DURATION_NS)
+    assert scenario.acknowledged_since(begun + 3 * SECOND) > 10
+    scenario.assert_all_are_up_to_date(scenario.world.edges())
     process = cut.process
     assert process is not None
     assert not process.core.has_majority(process.now)
-    story.watch.on_change()
-    story.world.network.end_all_trouble()
-    story.run(CONTACT + 2 * SECOND)
+    scenario.watch.on_change()
+    scenario.world.network.end_all_trouble()
+    scenario.run(CONTACT + 2 * SECOND)
     assert process.core.has_majority(process.now)
 
 
-def test_edges_that_begin_with_seeds_on_the_wrong_side_find_the_others() -> None:
+def test_edges_restarted_with_cut_off_seed_find_other_control_machines() -> None:
     """Guards against edges that stay with their only seed while that seed is cut off from the other control machines.
 
     The seed still lists the other control machines, so the edges can learn their addresses from the seed.
     """
-    story = Story()
-    cut = story.machine("core-1")
-    story.world.cut_both_ways([cut], story.control_machines(cut))
-    edges = story.world.edge_machines()[:4]
+    scenario = Scenario()
+    cut = scenario.machine("core-1")
+    scenario.world.cut_both_ways([cut], scenario.control_machines(cut))
+    edges = scenario.world.edge_machines()[:4]
     for edge in edges:
         edge.seeds = [cut.address]
-        story.world.kill(edge)
-        story.run(200 * MILLISECOND)
-        story.world.start(edge)
-    story.run(CONTACT + 2 * SECOND)
-    story.assert_all_are_up_to_date([edge.process for edge in edges if edge.process is not None])
+        scenario.world.kill(edge)
+        scenario.run(200 * MILLISECOND)
+        scenario.world.start(edge)
+    scenario.run(CONTACT + 2 * SECOND)
+    scenario.assert_all_are_up_to_date([edge.process for edge in edges if edge.process is not None])
 
 
-def test_a_parent_stands_still_and_goes_on() -> None:
+def test_stalled_parent_claims_no_contact_when_resumed() -> None:
     """Guards against a resumed process that claims contact with a majority from before its stall."""
-    story = Story()
-    process = story.machine("core-2").process
+    scenario = Scenario()
+    process = scenario.machine("core-2").process
     assert process is not None
     for _ in range(3):
-        story.world.freeze(process)
-        story.run(3 * SECOND)
-        story.world.thaw(process)
+        scenario.world.freeze(process)
+        scenario.run(3 * SECOND)
+        scenario.world.thaw(process)
         assert not process.core.has_majority(process.now)
-        story.run(2 * SECOND)
-    story.run(CONTACT + SECOND)
-    story.assert_all_are_up_to_date(story.world.edges())
+        scenario.run(2 * SECOND)
+    scenario.run(CONTACT + SECOND)
+    scenario.assert_all_are_up_to_date(scenario.world.edges())
 
 
-def test_a_worker_drains_at_a_control_machine_that_is_cut_off() -> None:
+def test_draining_is_acknowledged_only_by_control_machine_with_majority() -> None:
     """Guards against a cut-off control machine that acknowledges the draining of a worker.
 
     Another control machine acknowledges the draining, and 3 s later every edge must act on it.
     """
-    story = Story()
-    cut = story.machine("core-0")
-    told: list[bool] = []
-    heartbeat(story, "core-1", 1, "ready", told)
-    story.run(SECOND)
-    story.world.cut([cut], story.control_machines(cut), Passage.HOLDING)
-    story.run(2 * SECOND)
-    heartbeat(story, "core-0", 2, "draining", told)
-    story.run(SECOND)
-    heartbeat(story, "core-2", 3, "draining", told)
-    story.run(SECOND)
-    assert told == [True, False, True]
-    story.watch.drained.append(Drained("w0", 3, story.world.now))
-    story.run(IN_FORCE + SECOND)
-
-
-def heartbeat(story: Story, name: str, sequence: int, state: str, told: list[bool]) -> None:
-    process = next(control for control in story.world.controls() if control.machine.name == name)
-    process.begin_heartbeat("w0", sequence, state, told.append)
-
-
-def test_a_cut_off_primary_confirms_and_refuses_nothing() -> None:
+    scenario = Scenario()
+    cut = scenario.machine("core-0")
+    acknowledgements: list[bool] = []
+    heartbeat(scenario, "core-1", 1, "ready", acknowledgements)
+    scenario.run(SECOND)
+    scenario.world.cut([cut], scenario.control_machines(cut), Passage.HOLDING)
+    scenario.run(2 * SECOND)
+    heartbeat(scenario, "core-0", 2, "draining", acknowledgements)
+    scenario.run(SECOND)
+    heartbeat(scenario, "core-2", 3, "draining", acknowledgements)
+    scenario.run(SECOND)
+    assert acknowledgements == [True, False, True]
+    scenario.watch.drained.append(Drained("w0", 3, scenario.world.now))
+    scenario.run(IN_FORCE + SECOND)
+
+
+def heartbeat(scenario: Scenario, name: str, sequence: int, state: str, acknowledgements: list[bool]) -> None:
+    process = next(control for control in scenario.world.controls() if control.machine.name == name)
+    process.begin_heartbeat("w0", sequence, state, acknowledgements.append)
+
+
+def test_cut_off_primary_confirms_no_change_or_read() -> None:
     """Changes and reads at a cut-off primary must end with an unknown outcome or a redirect to another node."""
-    story = Story()
-    cut = story.primary_machine()
-    process = next(control for control in story.world.controls() if control.machine is cut)
-    story.world.cut_both_ways([cut], story.control_machines(cut))
-    before = len(story.world.answers)
+    scenario = Scenario()
+    cut = scenario.primary_machine()
+    process = next(control for control in scenario.world.controls() if control.machine is cut)
+    scenario.world.cut_both_ways([cut], scenario.control_machines(cut))
+    before = len(scenario.world.answers)
     for number in range(40):
-        story.world.read(process)
-        story.world.order(process, f"at the cut one {number}".encode("ascii"), number % 3)
-        story.run(500 * MILLISECOND)
-    answers = [result for call, result in story.world.answers[before:] if call.process is process]
+        scenario.world.read(process)
+        scenario.world.order(process, f"at the cut one {number}".encode("ascii"), number % 3)
+        scenario.run(500 * MILLISECOND)
+    answers = [result for call, result in scenario.world.answers[before:] if call.process is process]
     assert len(answers) > 40
     assert not any(isinstance(answer, Committed) for answer in answers)
 
 
 # --- a member whose messages arrive, but that receives none ---------------------------------------------------------
 
-MOST_VIEWS = 2  # the view without the member, and one more if a competing candidate preempts the first
+MAX_VIEWS = 2  # the view without the member, and one more if a competing candidate preempts the first
 
 
-def test_a_member_that_hears_nobody_is_left_out_of_the_view_once() -> None:
-    assert views_while_a_member_hears_nobody() <= MOST_VIEWS
+def test_member_that_receives_nothing_is_removed_from_view_once() -> None:
+    assert count_epochs_while_member_receives_nothing() <= MAX_VIEWS
 
 
-def test_taking_in_whoever_is_heard_is_found() -> None:
+def test_adding_member_that_receives_nothing_is_detected() -> None:
     """Planted fault: the primary adds a member to the view that only sends and receives nothing.
 
     The view would change again and again, and changes wait each time. Two rules prevent the repeated view changes:
@@ -215,19 +217,19 @@
         mock.patch.object(MemberLiveness, "is_answering", lambda self, member, now: True),
         mock.patch.object(CatchUp, "is_nearly_caught_up", lambda self, member, now: True),
     ):
-        assert views_while_a_member_hears_nobody() > 5 * MOST_VIEWS
+        assert count_epochs_while_member_receives_nothing() > 5 * MAX_VIEWS
 
 
-def views_while_a_member_hears_nobody() -> int:
+def count_epochs_while_member_receives_nothing() -> int:
     """Return the number of epochs in 20 simulated seconds while one member receives nothing."""
-    story = Story()
-    primary = story.primary_machine()
-    deaf = story.control_machines(primary)[0]
-    story.world.cut(story.control_machines(deaf), [deaf], Passage.HOLDING)
+    scenario = Scenario()
+    primary = scenario.primary_machine()
+    deaf = scenario.control_machines(primary)[0]
+    scenario.world.cut(scenario.control_machines(deaf), [deaf], Passage.HOLDING)
     epochs = set()
-    for _ in range(LONG_CUT // STEP):
-        story.run(STEP)
-        leader = story.world.primary()
+    for _ in range(CUT_DURATION_NS // STEP):
+        scenario.run(STEP)
+        leader = scenario.world.primary()
         assert leader is not None
         epochs.add(leader.member.state.known_primary.epoch)
     return len(epochs)
@@ -236,43 +238,43 @@
 # --- a joining machine ----------------------------------------------------------------------------------------------
 
 
-def test_a_joining_machine_vouches_for_nothing_before_it_knows_a_view() -> None:
-    joins_by_a_cut_off_seed()
+def test_joining_machine_claims_no_contact_before_it_has_a_view() -> None:
+    join_through_cut_off_seed()
 
 
-def test_a_joining_machine_that_counts_itself_is_found() -> None:
+def test_joining_machine_that_counts_itself_is_detected() -> None:
     real = NodeCore.set_electorates
 
-    def ignore_that_there_is_none(self: NodeCore, now: int, electorates: Sequence[Sequence[str]]) -> None:
+    def ignore_empty_electorates(self: NodeCore, now: int, electorates: Sequence[Sequence[str]]) -> None:
         if any(electorates):
             real(self, now, electorates)
 
     with (
-        mock.patch.object(NodeCore, "set_electorates", ignore_that_there_is_none),
+        mock.patch.object(NodeCore, "set_electorates", ignore_empty_electorates),
         pytest.raises(ViolationError) as found,
     ):
-        joins_by_a_cut_off_seed()
+        join_through_cut_off_seed()
     assert found.type is VouchedWithoutContactError
 
 
-def joins_by_a_cut_off_seed() -> None:
+def join_through_cut_off_seed() -> None:
     """Replace one of three control machines while the new machine reaches only one, cut-off control machine.
 
     The new machine and the cut-off control machine are no majority, so neither may claim contact with one.
     """
-    story = Story()
-    seed, gone, far = (story.machine(f"core-{number}") for number in range(3))
-    story.world.remove(gone)
-    story.run(4 * SECOND)
-    story.world.cut_both_ways([seed], [far])
-    new = story.world.replace_control(gone, [seed.address, far.address])
-    story.world.cut_both_ways([new], [far])
-    story.run(5 * SECOND)
+    scenario = Scenario()
+    seed, gone, far = (scenario.machine(f"core-{number}") for number in range(3))
+    scenario.world.remove(gone)
+    scenario.run(4 * SECOND)
+    scenario.world.cut_both_ways([seed], [far])
+    new = scenario.world.replace_control(gone, [seed.address, far.address])
+    scenario.world.cut_both_ways([new], [far])
+    scenario.run(5 * SECOND)
     assert new.process is not None
     assert not new.process.core.has_majority(new.process.now)
 
 
-def test_the_control_process_begins_with_nobody_who_can_grant_it_contact(tmp_path: Path) -> None:
+def test_control_process_starts_without_contact(tmp_path: Path) -> None:
     own = Address("127.0.0.1", 8146)
     settings = ProcessSettings(
         node="c1", role="core", node_class="core", serves=("control",), ip=own.host, zone="z1", region="r1",
--- a/tests/failure_detection/test_cluster_monitoring.py
+++ b/tests/failure_detection/test_cluster_monitoring.py
@@ -16,7 +16,7 @@
 from tests.support.cluster_network import MS, SECOND, Host, Network
 
 
-def place(name: str, region: str, is_control: bool = False) -> NodeLocation:
+def make_location(name: str, region: str, is_control: bool = False) -> NodeLocation:
     return NodeLocation(name, Address(name, 1), region, region, is_control)
 
 
@@ -32,7 +32,7 @@
     return network, controls, edges
 
 
-def others_than(network: Network, *hosts: Host) -> list[Host]:
+def all_except(network: Network, *hosts: Host) -> list[Host]:
     return [host for host in network.running() if host not in hosts]
 
 
@@ -43,43 +43,43 @@
 # --- choice of monitors ---------------------------------------------------------------------------
 
 
-def test_an_edge_has_two_monitors_of_its_region_and_a_control_node_of_another() -> None:
-    places = [place(f"e{number}", "r1") for number in range(10)]
-    places += [place("c1", "r1", True), place("c2", "r2", True), place("c3", "r3", True)]
-    for target in places[:10]:
-        monitors = monitors_of(target, MonitorCandidates.of(places))
+def test_edge_is_monitored_by_two_edges_of_its_region_and_remote_control_node() -> None:
+    locations = [make_location(f"e{number}", "r1") for number in range(10)]
+    locations += [make_location("c1", "r1", True), make_location("c2", "r2", True), make_location("c3", "r3", True)]
+    for target in locations[:10]:
+        monitors = monitors_of(target, MonitorCandidates.of(locations))
         assert len(monitors) == MONITORS_OF_MEMBER
         assert target not in monitors
         assert sum(not monitor.is_control and monitor.region == "r1" for monitor in monitors) == 2
         assert sum(monitor.is_control and monitor.region != "r1" for monitor in monitors) == 1
 
 
-def test_an_edge_alone_in_its_region_has_control_nodes() -> None:
-    places = [place("e", "r1"), *(place(f"c{number}", f"r{number}", True) for number in range(1, 4))]
-    assert {monitor.key for monitor in monitors_of(places[0], MonitorCandidates.of(places))} == {"c1", "c2", "c3"}
+def test_edge_alone_in_region_is_monitored_by_control_nodes() -> None:
+    locations = [make_location("e", "r1"), *(make_location(f"c{number}", f"r{number}", True) for number in range(1, 4))]
+    assert {monitor.key for monitor in monitors_of(locations[0], MonitorCandidates.of(locations))} == {"c1", "c2", "c3"}
 
 
-def test_a_control_node_has_all_other_control_nodes() -> None:
-    places = [place(f"c{number}", f"r{number}", True) for number in range(1, 4)]
-    places += [place("e1", "r1"), place("e2", "r2")]
-    assert {monitor.key for monitor in monitors_of(places[0], MonitorCandidates.of(places))} == {"c2", "c3", "e1"}
+def test_control_node_is_monitored_by_other_control_nodes_and_edge_of_its_region() -> None:
+    locations = [make_location(f"c{number}", f"r{number}", True) for number in range(1, 4)]
+    locations += [make_location("e1", "r1"), make_location("e2", "r2")]
+    assert {monitor.key for monitor in monitors_of(locations[0], MonitorCandidates.of(locations))} == {"c2", "c3", "e1"}
 
 
 # --- detection ------------------------------------------------------------------------------------
 
 
-def test_a_machine_that_loses_power_is_unlisted_within_two_seconds() -> None:
+def test_machine_without_power_is_unlisted_within_two_seconds() -> None:
     network, _, edges = small_fleet()
     network.lose_power(edges[0])
-    rest = others_than(network, edges[0])
+    rest = all_except(network, edges[0])
     assert network.run_until(lambda: network.all_know(rest), 3 * SECOND) <= 2 * SECOND
     network.run(3 * SECOND)
     assert all(edges[0].member.key not in [member.key for member in host.core.members(network.now)] for host in rest)
 
 
-def test_an_edge_that_is_cut_off_is_unlisted_by_the_control_nodes_and_judges_nobody() -> None:
+def test_cut_off_edge_is_unlisted_and_suspects_nobody() -> None:
     network, controls, edges = small_fleet()
-    rest = others_than(network, edges[0])
+    rest = all_except(network, edges[0])
     before = incarnations(rest)
     network.cut_both_ways([edges[0]], rest)
     gone = edges[0].member.name
@@ -93,19 +93,19 @@
     assert incarnations(rest) == before
 
 
-def test_a_region_that_is_cut_off_is_unlisted_on_the_other_side_and_the_other_way_round() -> None:
+def test_partitioned_sides_unlist_each_other() -> None:
     network, _, _ = small_fleet()
     region = [host for host in network.running() if host.member.region == "region-0"]
-    rest = others_than(network, *region)
+    rest = all_except(network, *region)
     network.cut_both_ways(region, rest)
     assert network.run_until(lambda: network.all_know(rest), 3 * SECOND) <= 1_800 * MS
     network.run_until(lambda: network.all_know(region), 4 * SECOND)
 
 
-def test_nobody_is_unlisted_when_a_cut_heals() -> None:
+def test_healed_partition_unlists_nobody() -> None:
     network, _, _ = small_fleet()
     region = [host for host in network.running() if host.member.region == "region-0"]
-    rest = others_than(network, *region)
+    rest = all_except(network, *region)
     network.cut_both_ways(region, rest)
     network.run(6 * SECOND)
     network.heal()
@@ -118,7 +118,7 @@
     assert network.all_know(network.running())
 
 
-def test_readiness_is_heard_of_at_once() -> None:
+def test_readiness_change_reaches_control_nodes_within_200_ms() -> None:
     network, controls, edges = small_fleet()
 
     def is_ready_at(host: Host) -> bool:
@@ -130,17 +130,17 @@
     network.run_until(lambda: not any(map(is_ready_at, controls)), 200 * MS)
 
 
-def test_who_leaves_is_unlisted_at_once_and_not_called_back() -> None:
+def test_leaving_node_is_unlisted_within_200_ms_and_stays_unlisted() -> None:
     network, _, edges = small_fleet()
     network.leave(edges[0])
-    rest = others_than(network, edges[0])
+    rest = all_except(network, edges[0])
     network.run_until(lambda: network.all_know(rest), 200 * MS)
     network.lose_power(edges[0])
     network.run(5 * SECOND)
     assert network.all_know(rest)
 
 
-def test_a_restarted_process_goes_above_what_is_held_of_its_earlier_life() -> None:
+def test_restarted_process_supersedes_item_of_its_previous_run() -> None:
     network, _, edges = small_fleet()
     for life in range(3):
         network.kill(edges[0])
@@ -152,7 +152,7 @@
         assert all(host.core.table.get(ItemKind.MEMBER, own.key) == own for host in network.running())
 
 
-def test_lost_datagrams_raise_few_suspicions() -> None:
+def test_datagram_loss_causes_few_suspicions() -> None:
     network, controls, edges = small_fleet(datagram_loss=0.02)
     before = incarnations([*controls, *edges])
     network.run(60 * SECOND)
@@ -161,7 +161,7 @@
     assert network.all_know(network.running())
 
 
-def test_a_monitor_that_alone_cannot_reach_its_target_gets_patient() -> None:
+def test_repeatedly_refuted_monitor_suspects_rarely() -> None:
     network, controls, edges = small_fleet()
     network.cut_both_ways([controls[1]], [edges[0]])
     before = edges[0].core.own.member.incarnation
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 2])
-def test_control_nodes_that_are_lost_leave_the_others_listed(count: int) -> None:
+def test_loss_of_control_nodes_leaves_other_nodes_listed(count: int) -> None:
     network, controls, _ = small_fleet()
     for control in controls[:count]:
         network.lose_power(control)
--- a/tests/failure_detection/test_membership_faults.py
+++ b/tests/failure_detection/test_membership_faults.py
@@ -17,7 +17,7 @@
 from canvasbeam.simulator.peers_sim import PeerWorld
 
 
-def fleet(count: int, *faults: LinkFault, **more: Any) -> PeerWorld:
+def start_fleet(count: int, *faults: LinkFault, **more: Any) -> PeerWorld:
     """Start all instances within a second and wait until their membership views agree."""
     world = PeerWorld(count, faults=faults, **more)
     world.start_all()
@@ -27,8 +27,8 @@
 
 
 @pytest.mark.parametrize("count", [3, 5, 40])
-def test_a_killed_instance_is_known_to_all_within_two_seconds_and_comes_back(count: int) -> None:
-    world = fleet(count)
+def test_killed_instance_is_detected_within_two_seconds_and_rejoins(count: int) -> None:
+    world = start_fleet(count)
     for name in ("n0", "n2", "n1"):
         world.kill(name)
         assert world.until(lambda name=name: world.all_know_gone(name), 5) < 2  # type: ignore[misc]
@@ -36,16 +36,16 @@
         assert world.until(world.agree, 5) < 2
 
 
-def test_a_planned_end_is_known_at_once() -> None:
-    world = fleet(40)
+def test_leaving_instance_is_removed_within_300_ms() -> None:
+    world = start_fleet(40)
     world.leave("n7")
     assert world.until(lambda: world.all_know_gone("n7"), 5) < 0.3
     assert not world.false_deaths()
 
 
 @pytest.mark.parametrize(("count", "parts"), [(5, 2), (12, 3), (40, 2)])
-def test_a_cut_of_a_minute_heals_and_kills_nobody_on_its_own_side(count: int, parts: int) -> None:
-    world = fleet(count, LinkFault(kind="cut", at_s=10, for_s=60, parts=parts))
+def test_one_minute_partition_heals_without_deaths_within_a_side(count: int, parts: int) -> None:
+    world = start_fleet(count, LinkFault(kind="cut", at_s=10, for_s=60, parts=parts))
     world.run(70.01 - world.now / SECOND)
     reaches = world.links.hears
     for seen in world.seen:
@@ -56,15 +56,15 @@
     assert not world.false_deaths(healed)
 
 
-def test_one_link_cut_in_one_direction_kills_nobody() -> None:
-    world = fleet(5, LinkFault(kind="cut", at_s=5, for_s=60, of=("n1",), to=("n2",), one_way=True))
+def test_link_cut_in_one_direction_causes_no_deaths() -> None:
+    world = start_fleet(5, LinkFault(kind="cut", at_s=5, for_s=60, of=("n1",), to=("n2",), one_way=True))
     world.run(65)
     assert not world.false_deaths()
 
 
-def test_who_hears_nobody_says_so_and_calls_nobody_dead_before_long() -> None:
+def test_instance_that_receives_nothing_reports_so_and_declares_no_deaths() -> None:
     others = tuple(f"n{place}" for place in range(8) if place != 1)
-    world = fleet(8, LinkFault(kind="cut", at_s=5, for_s=8, of=others, one_way=True, to=("n1",)))
+    world = start_fleet(8, LinkFault(kind="cut", at_s=5, for_s=8, of=others, one_way=True, to=("n1",)))
     world.run(10 - world.now / SECOND)
     each = world.instances["n1"]
     assert each.members is not None
@@ -77,15 +77,15 @@
     assert world.until(world.agree, 5) < 2
 
 
-def test_the_last_of_two_takes_the_other_for_dead_only_after_long() -> None:
-    world = fleet(2)
+def test_last_of_two_instances_declares_other_dead_only_after_nine_seconds() -> None:
+    world = start_fleet(2)
     world.kill("n0")
     took = world.until(lambda: world.all_know_gone("n0"), 30)
     assert 9 < took < 14
 
 
-def test_who_was_stopped_for_20_seconds_wakes_and_calls_nobody_dead() -> None:
-    world = fleet(5)
+def test_instance_resumed_after_20_seconds_declares_no_deaths() -> None:
+    world = start_fleet(5)
     world.stop("n1")
     assert world.until(lambda: world.all_know_gone("n1"), 5) < 2
     world.run(20)
@@ -95,8 +95,8 @@
     assert not world.false_deaths(woken)
 
 
-def test_a_restart_under_a_clock_that_is_set_back_takes_its_name_again() -> None:
-    world = fleet(5)
+def test_restart_with_clock_set_back_reclaims_name() -> None:
+    world = start_fleet(5)
     for clock in (-3600.0, -7200.0, 3600.0, 0.0):
         world.kill("n1")
         world.run(0.2)  # too short for any instance to detect the crash
@@ -104,8 +104,8 @@
         assert world.until(world.agree, 10) < 2, clock
 
 
-def test_of_two_live_processes_with_one_name_one_says_so_and_stays_out() -> None:
-    world = fleet(5)
+def test_older_of_two_processes_with_one_name_is_displaced() -> None:
+    world = start_fleet(5)
     old = world.instances["n1"]
     assert old.members is not None
     twin = world.instances["n1b"] = type(old)("n1b", "127.78.9.9:7000")
@@ -127,8 +127,8 @@
     assert world.until(lambda: old.members is not None and old.members.own_state is OwnState.MEMBER, 20) < 20
 
 
-def test_with_all_seeds_dead_the_fleet_goes_on_and_finds_whom_it_remembers() -> None:
-    world = fleet(6)
+def test_fleet_without_live_seeds_finds_restarted_members() -> None:
+    world = start_fleet(6)
     for name in ("n0", "n1", "n2"):
         world.kill(name)
     world.kill("n5")
@@ -140,8 +140,8 @@
     assert world.until(world.agree, 10) < 5
 
 
-def test_who_left_and_starts_again_is_found_where_all_seeds_are_dead() -> None:
-    world = fleet(6)
+def test_left_instance_rejoins_without_live_seeds() -> None:
+    world = start_fleet(6)
     for name in ("n0", "n1", "n2"):
         world.kill(name)
     world.leave("n5")
@@ -151,37 +151,37 @@
     assert world.until(world.agree, 20) < 10
 
 
-def test_two_hundred_that_start_within_a_second_find_each_other() -> None:
+def test_two_hundred_instances_started_within_a_second_find_each_other() -> None:
     world = PeerWorld(200)
     world.start_all()
     world.run(1.01)
     assert world.until(world.agree, 10, 0.1) < 5
 
 
-def test_a_machine_on_which_all_are_late_suspects_nobody_in_mass() -> None:
-    world = fleet(5)
+def test_overloaded_machine_causes_few_suspicions_and_no_deaths() -> None:
+    world = start_fleet(5)
     world.cpu = 0.25
     world.run(30)
     assert not world.false_deaths()
     assert sum(seen.after == "suspect" for seen in world.seen) < 10
 
 
-def test_one_datagram_in_five_lost_kills_nobody() -> None:
-    world = fleet(5, LinkFault(kind="lose", at_s=2, for_s=60, size=0.2))
+def test_twenty_percent_datagram_loss_causes_no_deaths() -> None:
+    world = start_fleet(5, LinkFault(kind="lose", at_s=2, for_s=60, size=0.2))
     world.run(61)
     assert not world.false_deaths()
 
 
-def test_a_flapping_link_ends_in_agreement() -> None:
-    world = fleet(5, LinkFault(kind="cut", at_s=2, for_s=30, part=0.2, flap_s=1))
+def test_flapping_link_ends_in_agreement() -> None:
+    world = start_fleet(5, LinkFault(kind="cut", at_s=2, for_s=30, part=0.2, flap_s=1))
     world.run(32 - world.now / SECOND + 0.01)
     assert world.until(world.agree, 10) < 3
 
 
-def test_at_rest_an_instance_sends_as_much_among_many_as_among_few() -> None:
+def test_idle_send_rate_is_independent_of_fleet_size() -> None:
     rates = []
     for count in (5, 40):
-        world = fleet(count)
+        world = start_fleet(count)
         world.run(5)
         before = sum(world.sent.values())
         world.run(5)
--- a/tests/failure_detection/test_membership_hearsay.py
+++ b/tests/failure_detection/test_membership_hearsay.py
@@ -28,7 +28,7 @@
 from canvasbeam.simulator.peers_sim import Seen
 from tests.support.peering import Fleet, run_history, with_parts
 
-FEW, MANY = ("n0", "n1"), ("n2", "n3", "n4")
+SMALL_PART, LARGE_PART = ("n0", "n1"), ("n2", "n3", "n4")
 
 
 class EarlyHearsay(MemberUpdates):
@@ -47,63 +47,70 @@
 WITH_EARLY_HEARSAY = with_parts(MemberUpdates=EarlyHearsay)
 
 
-class Unrefereed(Fleet):
+class FleetWithoutDeathCheck(Fleet):
     """Fleet without the referee's check of deaths, which tolerates deaths for six seconds after a cut."""
 
     def _check_death(self, each: object, change: object) -> None:
         pass
 
 
-def deaths_after_the_heal(seed: int, held_up_s: float, make: Callable[..., Membership] = Membership) -> list[Seen]:
+def deaths_within_parts_after_heal(
+    seed: int, stall_s: float, make: Callable[..., Membership] = Membership
+) -> list[Seen]:
     """Heal a partition while one instance is stalled; return the deaths that a member of the same part declared."""
-    fleet = Unrefereed(len(FEW + MANY), make, seed)
+    fleet = FleetWithoutDeathCheck(len(SMALL_PART + LARGE_PART), make, seed)
     for name in fleet.instances:
         fleet.start(name)
     assert fleet.until(fleet.agree, 10) < 10
-    for one in FEW:
-        for other in MANY:
+    for one in SMALL_PART:
+        for other in LARGE_PART:
             fleet.cut(one, other)
-    parted = fleet.until(lambda: all(fleet.view(name) == (FEW if name in FEW else MANY) for name in FEW + MANY), 20)
+    parted = fleet.until(
+        lambda: all(
+            fleet.view(name) == (SMALL_PART if name in SMALL_PART else LARGE_PART) for name in SMALL_PART + LARGE_PART
+        ),
+        20,
+    )
     assert parted < 20
     healed = fleet.now
     fleet.heal()
     fleet.stop("n3")
-    fleet.run(held_up_s)
+    fleet.run(stall_s)
     fleet.go_on("n3")
     assert fleet.until(fleet.agree, 20) < 20
     deaths = [seen for seen in fleet.seen if seen.after == "dead" and seen.at_ns >= healed]
-    return [seen for seen in deaths if (seen.name in FEW) is (seen.by in FEW)]
+    return [seen for seen in deaths if (seen.name in SMALL_PART) is (seen.by in SMALL_PART)]
 
 
-@pytest.mark.parametrize("held_up_s", [0.0, 0.2, 0.4])
-def test_a_heal_kills_nobody_who_is_held_up_for_less_than_the_least_suspicion(held_up_s: float) -> None:
-    assert SwimParameters().min_suspicion > held_up_s * SECOND
-    assert [death for seed in range(40) for death in deaths_after_the_heal(seed, held_up_s)] == []
+@pytest.mark.parametrize("stall_s", [0.0, 0.2, 0.4])
+def test_heal_causes_no_death_of_member_stalled_below_minimum_suspicion(stall_s: float) -> None:
+    assert SwimParameters().min_suspicion > stall_s * SECOND
+    assert [death for seed in range(40) for death in deaths_within_parts_after_heal(seed, stall_s)] == []
 
 
-def test_the_heal_shows_deaths_that_are_believed_too_early() -> None:
-    assert [death for seed in range(40) for death in deaths_after_the_heal(seed, 0.4, WITH_EARLY_HEARSAY)]
+def test_early_hearsay_is_detected_after_heal() -> None:
+    assert [death for seed in range(40) for death in deaths_within_parts_after_heal(seed, 0.4, WITH_EARLY_HEARSAY)]
 
 
 @pytest.mark.parametrize("seed", [42, 300, 384])
-def test_drawn_histories_of_six_that_broke_the_rules_before(seed: int) -> None:
+def test_formerly_failing_histories_of_six_keep_rules(seed: int) -> None:
     run_history(seed, count=6)
 
 
 # --- one instance, by hand ----------------------------------------------------------------------------
 
 
-PLACES = {"m0": "127.0.0.2:1000", "m1": "127.0.0.2:1001"}
+ADDRESSES = {"m0": "127.0.0.2:1000", "m1": "127.0.0.2:1001"}
 
 
-def said(teller: str, incarnation: int = 0, *updates: MemberUpdate) -> DatagramReceived:
+def datagram_from(sender_name: str, incarnation: int = 0, *updates: MemberUpdate) -> DatagramReceived:
     return DatagramReceived(
-        Sender(teller, 1, incarnation, PLACES[teller]), Datagram(DatagramKind.UPDATES, updates=updates)
+        Sender(sender_name, 1, incarnation, ADDRESSES[sender_name]), Datagram(DatagramKind.UPDATES, updates=updates)
     )
 
 
-def of_m1(status: MemberStatus, incarnation: int = 0, by: str = "") -> MemberUpdate:
-    return MemberUpdate("m1", PLACES["m1"], status, 1, incarnation, by)
+def update_of_m1(status: MemberStatus, incarnation: int = 0, by: str = "") -> MemberUpdate:
+    return MemberUpdate("m1", ADDRESSES["m1"], status, 1, incarnation, by)
 
 
 def with_two_members(make: Callable[..., Membership] = Membership) -> Membership:
@@ -111,92 +118,96 @@
 
     The instance sends no pings, so that no missed answer lowers its local health (Lifeguard).
     """
-    mine = make(Sender("n0", 100, 0, "127.0.0.1:1"), (), SwimParameters(ping_interval=60 * SECOND), 1, SECOND)
-    for name, address in PLACES.items():
-        mine.updates.apply(SECOND, MemberUpdate(name, address, MemberStatus.ALIVE, 1, 0), name)
-    mine.on_received(SECOND, said("m0").sender, Datagram(DatagramKind.UPDATES))
-    return mine
+    instance = make(Sender("n0", 100, 0, "127.0.0.1:1"), (), SwimParameters(ping_interval=60 * SECOND), 1, SECOND)
+    for name, address in ADDRESSES.items():
+        instance.updates.apply(SECOND, MemberUpdate(name, address, MemberStatus.ALIVE, 1, 0), name)
+    instance.on_received(SECOND, datagram_from("m0").sender, Datagram(DatagramKind.UPDATES))
+    return instance
 
 
-def test_a_death_told_again_and_again_is_not_believed_of_one_who_speaks() -> None:
-    mine = with_two_members()
+def test_repeated_death_updates_do_not_kill_member_that_sends() -> None:
+    instance = with_two_members()
     for step in range(1, 30):
         now = SECOND + step * 100 * MS
-        mine.handle(now, [said("m0", 0, of_m1(MemberStatus.DEAD)), said("m1")])
-        assert mine.members["m1"].known.status is MemberStatus.SUSPECT
+        instance.handle(now, [datagram_from("m0", 0, update_of_m1(MemberStatus.DEAD)), datagram_from("m1")])
+        assert instance.members["m1"].known.status is MemberStatus.SUSPECT
 
 
-def test_the_same_words_kill_where_they_are_believed_too_early() -> None:
-    mine = with_two_members(WITH_EARLY_HEARSAY)
+def test_repeated_death_updates_kill_sending_member_under_early_hearsay() -> None:
+    instance = with_two_members(WITH_EARLY_HEARSAY)
     for step in range(1, 30):
-        mine.handle(SECOND + step * 100 * MS, [said("m0", 0, of_m1(MemberStatus.DEAD)), said("m1")])
-    assert mine.members["m1"].known.status is MemberStatus.DEAD
+        instance.handle(
+            SECOND + step * 100 * MS, [datagram_from("m0", 0, update_of_m1(MemberStatus.DEAD)), datagram_from("m1")]
+        )
+    assert instance.members["m1"].known.status is MemberStatus.DEAD
 
 
-def test_who_is_told_dead_is_told_so_at_once_and_its_refutation_outweighs_later_words() -> None:
-    mine = with_two_members()
+def test_member_reported_dead_is_notified_and_its_refutation_prevails() -> None:
+    instance = with_two_members()
     now = SECOND + 100 * MS
-    actions = mine.handle(now, [said("m0", 0, of_m1(MemberStatus.DEAD))])
-    told = [
-        action.datagram for action in actions if isinstance(action, SendDatagram) and action.address == PLACES["m1"]
+    actions = instance.handle(now, [datagram_from("m0", 0, update_of_m1(MemberStatus.DEAD))])
+    notifications = [
+        action.datagram for action in actions if isinstance(action, SendDatagram) and action.address == ADDRESSES["m1"]
+    ]
+    assert update_of_m1(MemberStatus.SUSPECT, by="m0") in [
+        update for datagram in notifications for update in datagram.updates
     ]
-    assert of_m1(MemberStatus.SUSPECT, by="m0") in [update for datagram in told for update in datagram.updates]
-    mine.handle(now + MS, [said("m1", 1)])
-    mine.handle(now + 400 * MS, [said("m0", 0, of_m1(MemberStatus.DEAD))])
-    assert (mine.members["m1"].known.status, mine.members["m1"].known.incarnation) == (MemberStatus.ALIVE, 1)
+    instance.handle(now + MS, [datagram_from("m1", 1)])
+    instance.handle(now + 400 * MS, [datagram_from("m0", 0, update_of_m1(MemberStatus.DEAD))])
+    assert (instance.members["m1"].known.status, instance.members["m1"].known.incarnation) == (MemberStatus.ALIVE, 1)
 
 
-def judging(mine: Membership, now: int, *events: DatagramReceived) -> None:
+def deliver_with_contact(instance: Membership, now: int, *events: DatagramReceived) -> None:
     """Deliver a datagram and a recent ping answer of another member, so that this instance may declare deaths."""
-    mine.reachability.confirm(now - MS)
-    mine.handle(now, [said("m0"), *events])
+    instance.reachability.confirm(now - MS)
+    instance.handle(now, [datagram_from("m0"), *events])
 
 
-def suspected(incarnation: int = 0) -> DatagramReceived:
-    return said("m0", 0, of_m1(MemberStatus.SUSPECT, incarnation, "m0"))
+def suspicion_of_m1(incarnation: int = 0) -> DatagramReceived:
+    return datagram_from("m0", 0, update_of_m1(MemberStatus.SUSPECT, incarnation, "m0"))
 
 
-def test_a_suspicion_runs_out_where_another_answers() -> None:
-    mine = with_two_members()
-    judging(mine, SECOND, suspected())
-    for now in range(SECOND, SECOND + mine.parameters.max_suspicion + 100 * MS, 50 * MS):
-        judging(mine, now)
-    assert mine.members["m1"].known.status is MemberStatus.DEAD
+def test_suspicion_expires_while_other_member_answers() -> None:
+    instance = with_two_members()
+    deliver_with_contact(instance, SECOND, suspicion_of_m1())
+    for now in range(SECOND, SECOND + instance.parameters.max_suspicion + 100 * MS, 50 * MS):
+        deliver_with_contact(instance, now)
+    assert instance.members["m1"].known.status is MemberStatus.DEAD
 
 
-def test_a_newer_incarnation_that_is_suspected_has_the_whole_time_of_a_suspicion() -> None:
+def test_suspicion_of_newer_incarnation_lasts_full_timeout() -> None:
     """Guards against a suspicion of a newer incarnation that inherits the elapsed time of the older suspicion.
 
     The fault needs a member that refuted the older suspicion with a refutation that was lost on its way here.
     """
-    mine = with_two_members()
-    judging(mine, SECOND, suspected())
+    instance = with_two_members()
+    deliver_with_contact(instance, SECOND, suspicion_of_m1())
     renewed = SECOND + 900 * MS
     for now in range(SECOND + 50 * MS, renewed, 50 * MS):
-        judging(mine, now)
-    assert mine.members["m1"].known.status is MemberStatus.SUSPECT
-    judging(mine, renewed, suspected(incarnation=1))
-    for now in range(renewed, renewed + mine.parameters.min_suspicion, 50 * MS):
-        judging(mine, now)
-        assert mine.members["m1"].known.status is MemberStatus.SUSPECT
+        deliver_with_contact(instance, now)
+    assert instance.members["m1"].known.status is MemberStatus.SUSPECT
+    deliver_with_contact(instance, renewed, suspicion_of_m1(incarnation=1))
+    for now in range(renewed, renewed + instance.parameters.min_suspicion, 50 * MS):
+        deliver_with_contact(instance, now)
+        assert instance.members["m1"].known.status is MemberStatus.SUSPECT
 
 
-def test_a_death_of_a_newer_incarnation_is_a_suspicion_of_that_one() -> None:
-    mine = with_two_members()
-    judging(mine, SECOND, suspected())
+def test_death_of_newer_incarnation_becomes_suspicion() -> None:
+    instance = with_two_members()
+    deliver_with_contact(instance, SECOND, suspicion_of_m1())
     later = SECOND + 700 * MS
     for now in range(SECOND + 50 * MS, later, 50 * MS):
-        judging(mine, now)
-    judging(mine, later, said("m0", 0, of_m1(MemberStatus.DEAD, incarnation=1)))
-    assert (mine.members["m1"].known.status, mine.members["m1"].known.incarnation) == (MemberStatus.SUSPECT, 1)
+        deliver_with_contact(instance, now)
+    deliver_with_contact(instance, later, datagram_from("m0", 0, update_of_m1(MemberStatus.DEAD, incarnation=1)))
+    assert (instance.members["m1"].known.status, instance.members["m1"].known.incarnation) == (MemberStatus.SUSPECT, 1)
 
 
-def test_what_was_suspected_in_the_dark_has_its_time_once_others_are_heard_again() -> None:
-    mine = with_two_members()
-    judging(mine, SECOND, suspected())
-    heard_again = SECOND + mine.parameters.receive_timeout + 500 * MS
+def test_suspicion_restarts_after_instance_was_cut_off() -> None:
+    instance = with_two_members()
+    deliver_with_contact(instance, SECOND, suspicion_of_m1())
+    heard_again = SECOND + instance.parameters.receive_timeout + 500 * MS
     for now in range(SECOND + 50 * MS, heard_again, 50 * MS):
-        mine.handle(now, [Ticked()])
-    for now in range(heard_again, heard_again + mine.parameters.min_suspicion, 50 * MS):
-        judging(mine, now)
-        assert mine.members["m1"].known.status is MemberStatus.SUSPECT
+        instance.handle(now, [Ticked()])
+    for now in range(heard_again, heard_again + instance.parameters.min_suspicion, 50 * MS):
+        deliver_with_contact(instance, now)
+        assert instance.members["m1"].known.status is MemberStatus.SUSPECT
--- a/tests/failure_detection/test_membership_histories.py
+++ b/tests/failure_detection/test_membership_histories.py
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_drawn_histories_keep_the_rules(seed: int) -> None:
+def test_random_histories_keep_membership_rules(seed: int) -> None:
     run_history(seed)
 
 
@@ -87,7 +87,7 @@
         return None
 
 
-class GoesBack(OwnInstance):
+class LowersIncarnation(OwnInstance):
     def refute(self, now: int, start: int, incarnation: int, why: str) -> None:
         super().refute(now, start, incarnation - 2 if incarnation > 2 else incarnation, why)
 
@@ -100,26 +100,26 @@
         return 0
 
 
-class AlwaysDeclares(SuspicionRules):
+class AlwaysDeclaresDeath(SuspicionRules):
     def may_declare_dead(self, member: Member, now: int) -> bool:
         return True
 
 
-class TakesTheLower(MemberUpdates):
+class AcceptsLowerRank(MemberUpdates):
     def apply(self, now: int, update: MemberUpdate, source: str) -> None:
         member = self._members.get(update.name)
         if member is not None and update.status is MemberStatus.ALIVE and update.rank < member.known.rank:
-            self.set_known(now, member, update, "the last word")
+            self.set_known(now, member, update, "accepted an update of lower rank")
         super().apply(now, update, source)
 
 
-class TrustsStrangers(Membership):
+class TrustsUnverifiedSenders(Membership):
     def _on_unverified(self, now: int, sender: Sender, datagram: Datagram) -> None:
         alive = MemberUpdate(sender.name, sender.address, MemberStatus.ALIVE, sender.start, 99)
         self.updates.apply(now, alive, sender.name)
 
 
-class NeverAsksTheDead(PingExchange):
+class NeverReconnects(PingExchange):
     def reconnect(self, now: int) -> None:
         if self._own.state is OwnState.JOINING:
             super().reconnect(now)
@@ -127,7 +127,7 @@
             self._next_reconnect_at = now + SECOND
 
 
-class NeverProbes(PingExchange):
+class NeverPings(PingExchange):
     def ping_next_member(self, now: int) -> None:
         pass
 
@@ -143,23 +143,23 @@
             super().apply(now, update, source)
 
 
-MUTATIONS: dict[str, Callable[..., Membership]] = {
-    "NeverRefutes": with_parts(OwnInstance=NeverRefutes),
-    "GoesBack": with_parts(OwnInstance=GoesBack),
-    "JudgesWhileDeaf": with_parts(Reachability=NeverCutOff, SuspicionRules=AlwaysDeclares),
-    "TakesTheLower": with_parts(MemberUpdates=TakesTheLower),
-    "TrustsStrangers": TrustsStrangers,
-    "NeverAsksTheDead": with_parts(PingExchange=NeverAsksTheDead),
-    "NeverProbes": with_parts(PingExchange=NeverProbes),
-    "DeadByHearsay": with_parts(MemberUpdates=DeadByHearsay),
+PLANTED_FAULTS: dict[str, Callable[..., Membership]] = {
+    "never refutes": with_parts(OwnInstance=NeverRefutes),
+    "lowers its own incarnation": with_parts(OwnInstance=LowersIncarnation),
+    "declares deaths while cut off": with_parts(Reachability=NeverCutOff, SuspicionRules=AlwaysDeclaresDeath),
+    "accepts updates of lower rank": with_parts(MemberUpdates=AcceptsLowerRank),
+    "trusts unverified senders": TrustsUnverifiedSenders,
+    "never reconnects to dead members": with_parts(PingExchange=NeverReconnects),
+    "never pings members": with_parts(PingExchange=NeverPings),
+    "accepts deaths by hearsay": with_parts(MemberUpdates=DeadByHearsay),
 }
 
 
-@pytest.mark.parametrize("mutation", MUTATIONS)
-def test_the_histories_catch_each_mutation(mutation: str) -> None:
+@pytest.mark.parametrize("planted_fault", PLANTED_FAULTS)
+def test_histories_reveal_planted_fault(planted_fault: str) -> None:
     for seed in range(60):
         try:
-            run_history(seed, MUTATIONS[mutation])
+            run_history(seed, PLANTED_FAULTS[planted_fault])
         except BrokenError:
             return
-    raise AssertionError(f"{mutation} went unseen")
+    raise AssertionError(f"no history revealed the planted fault: {planted_fault}")
