--- a/tests/cluster/test_calls.py
+++ b/tests/cluster/test_calls.py
@@ -182,6 +182,11 @@
 
 
 def test_answer_names_calling_incarnation_after_slow_sync() -> None:
+    """Guards against a promise that names the caller's newest incarnation, although an earlier one sent the call.
+
+    The promise waits for the sync of the disk; meanwhile the caller restarts and sends another call.
+    """
+
     async def work() -> None:
         disk = BlockingDisk()
         transport, service = await start_member(disk)
@@ -262,6 +267,8 @@
 def test_frames_queued_for_previous_incarnation_are_dropped_when_new_one_connects(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Guards against frames that were queued for a stopped process and reach its restarted successor."""
+
     async def hang(address: Address) -> None:
         await asyncio.Event().wait()
 
@@ -309,6 +316,8 @@
 
 
 def test_transport_that_accepts_any_incarnation_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Planted fault: the incarnation check counts a frame for another incarnation, but accepts the frame."""
+
     def count_and_accept(check: IncarnationCheck, addressed_incarnation: int) -> bool:
         check.dropped += addressed_incarnation != check.incarnation
         return True
@@ -333,6 +342,7 @@
 
 
 def test_answer_to_old_probe_does_not_make_target_responsive() -> None:
+    """Guards against a late answer to an old probe that hides that the target no longer answers."""
     monitoring, address, number = make_monitoring()
     monitoring.on_answer(SECOND, address, number)
     now = SECOND
--- a/tests/distribution/test_cluster_tree.py
+++ b/tests/distribution/test_cluster_tree.py
@@ -129,6 +129,7 @@
 
 
 def test_children_leave_control_node_that_lost_its_peers() -> None:
+    """Guards against edges that miss new items because their parent is cut off from the other control nodes."""
     network, controls, edges = small_fleet()
     network.cut_both_ways([controls[0]], controls[1:])
     item = network.publish(controls[1], 1)
@@ -195,6 +196,7 @@
 
 
 def test_node_behind_slow_link_stays_attached() -> None:
+    """Guards against a node that changes its parent again and again because messages arrive late."""
     network, controls, edges = small_fleet()
     network.choke(edges[0], 800 * MS)
     network.run(10 * SECOND)
@@ -206,6 +208,7 @@
 
 
 def test_stalled_process_keeps_its_parent_and_suspects_nobody() -> None:
+    """Guards against a process that takes its own stall for the silence of its parent and of other members."""
     network, controls, edges = small_fleet()
     parent = parent_of(network, edges[0])
     others = [host for host in network.running() if host is not edges[0]]
--- a/tests/distribution/test_documents.py
+++ b/tests/distribution/test_documents.py
@@ -148,6 +148,7 @@
 
 
 def test_started_transfer_finishes_after_document_changed() -> None:
+    """Guards against a transfer that mixes chunks of two versions when the document changes meanwhile."""
     large = Document.of({f"key-{number}": bytes(50_000) for number in range(4)})
     sender, receiver = sender_with(large), DocumentReceiver()
     request = receiver.on_offer(0, PARENT, Version(1))
@@ -209,6 +210,7 @@
 
 
 def test_older_announcement_is_answered_once_with_newer_version() -> None:
+    """Guards against two nodes that answer each other's announcements endlessly."""
     exchange = DocumentExchange()
     exchange.on_items([Item(ItemKind.CONFIGURATION, "current", Version(4), document=document(a="1"))])
     assert exchange.on_offer(0, PARENT, Announce(3, 3)) == (Announce(4, 4),)
--- a/tests/failure_detection/test_cluster_monitoring.py
+++ b/tests/failure_detection/test_cluster_monitoring.py
@@ -78,6 +78,7 @@
 
 
 def test_cut_off_edge_is_unlisted_and_suspects_nobody() -> None:
+    """Guards against a cut-off node that suspects all other members because it receives nothing."""
     network, controls, edges = small_fleet()
     rest = all_except(network, edges[0])
     before = incarnations(rest)
@@ -162,6 +163,10 @@
 
 
 def test_repeatedly_refuted_monitor_suspects_rarely() -> None:
+    """Guards against endless suspicions by the only monitor that cannot reach a target.
+
+    The monitor's answer time-out for the target grows with each refutation.
+    """
     network, controls, edges = small_fleet()
     network.cut_both_ways([controls[1]], [edges[0]])
     before = edges[0].core.own.member.incarnation
--- a/tests/failure_detection/test_membership_faults.py
+++ b/tests/failure_detection/test_membership_faults.py
@@ -96,6 +96,7 @@
 
 
 def test_restart_with_clock_set_back_reclaims_name() -> None:
+    """Guards against a restarted process whose lower start time makes its updates look older than its previous run."""
     world = start_fleet(5)
     for clock in (-3600.0, -7200.0, 3600.0, 0.0):
         world.kill("n1")
@@ -105,6 +106,7 @@
 
 
 def test_older_of_two_processes_with_one_name_is_displaced() -> None:
+    """Guards against two live processes that are both members under one name."""
     world = start_fleet(5)
     old = world.instances["n1"]
     assert old.members is not None
@@ -159,6 +161,7 @@
 
 
 def test_overloaded_machine_causes_few_suspicions_and_no_deaths() -> None:
+    """Guards against mass suspicions on a machine where every process runs late."""
     world = start_fleet(5)
     world.cpu = 0.25
     world.run(30)
--- a/tests/failure_detection/test_membership_hearsay.py
+++ b/tests/failure_detection/test_membership_hearsay.py
@@ -203,6 +203,10 @@
 
 
 def test_suspicion_restarts_after_instance_was_cut_off() -> None:
+    """Guards against a death declared right after the instance receives again.
+
+    While the instance was cut off, no refutation of the suspicion could arrive.
+    """
     instance = with_two_members()
     deliver_with_contact(instance, SECOND, suspicion_of_m1())
     heard_again = SECOND + instance.parameters.receive_timeout + 500 * MS
