--- a/tests/distribution/test_soft_state_explorer.py
+++ b/tests/distribution/test_soft_state_explorer.py
@@ -1,7 +1,7 @@
-"""The soft state under an explorer: random walks with every kind of trouble, and planted faults that it must find.
+"""Random walks through the soft state with every kind of fault, and planted faults that the walks must find.
 
-`EXPLORER_WALKS` sets the number of walks and `EXPLORER_FIRST` the seed of the first; what is run here by default takes
-seconds. A walk is drawn from its seed alone, so that one that failed is told again by its number.
+`EXPLORER_WALKS` sets the number of walks and `EXPLORER_FIRST` the seed of the first; the default number of walks takes
+seconds. A walk depends on its seed alone, so that its seed reproduces a failed walk.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 from canvasbeam.runtime.settings import Address
 from canvasbeam.units import SECOND
 from tests.distribution.test_documents import assemble_unchecked
-from tests.support import soft_state_walk as trouble
+from tests.support import soft_state_walk as walk_faults
 from tests.support.soft_state_invariants import (
     AdoptionWentBackError,
     AnswerWithoutContactError,
@@ -54,14 +54,14 @@
 from tests.support.soft_state_walk import TroubleKind, Walk
 
 WALKS = int(os.environ.get("EXPLORER_WALKS", "12"))
-FIRST = int(os.environ.get("EXPLORER_FIRST", "0"))
-SPAN = 20 * SECOND
+FIRST_SEED = int(os.environ.get("EXPLORER_FIRST", "0"))
+WALK_DURATION_NS = 20 * SECOND
 WALKS_TO_FIND = 40
 
 
 @dataclass
-class Pace:
-    """How much was explored, and in what time."""
+class ExplorationTotals:
+    """Totals over the walks of a test process: wall-clock seconds, walks, events and checked states."""
 
     seconds: float = 0.0
     walks: int = 0
@@ -77,46 +77,49 @@
 
 
 @pytest.fixture(scope="module")
-def pace(request: pytest.FixtureRequest) -> Iterator[Pace]:
-    """The pace of the walks of this process, printed at their end."""
-    pace = Pace()
-    yield pace
+def exploration_totals(request: pytest.FixtureRequest) -> Iterator[ExplorationTotals]:
+    """Collect the totals over the walks of this process and print them after the last walk."""
+    exploration_totals = ExplorationTotals()
+    yield exploration_totals
     capture = request.config.pluginmanager.getplugin("capturemanager")
     assert capture is not None
     with capture.global_and_fixture_disabled():
-        print(f"\n{pace}", file=sys.stderr)  # the only one that xdist passes on
+        print(f"\n{exploration_totals}", file=sys.stderr)  # pytest-xdist passes on only stderr
 
 
-def tell(seed: int) -> Walk:
-    """Run one walk; what is violated names the seed and what came before."""
+def run_walk(seed: int) -> Walk:
+    """Run one walk; add its seed and its log of faults to the message of a violation."""
     walk = Walk(seed)
     try:
-        walk.run(SPAN)
+        walk.run(WALK_DURATION_NS)
     except ViolationError as violation:
-        story = "\n".join(walk.story)
-        raise type(violation)(f"EXPLORER_FIRST={seed} EXPLORER_WALKS=1: {violation}\n{story}") from violation
+        fault_log = "\n".join(walk.story)
+        raise type(violation)(f"EXPLORER_FIRST={seed} EXPLORER_WALKS=1: {violation}\n{fault_log}") from violation
     return walk
 
 
-@pytest.mark.parametrize("seed", range(FIRST, FIRST + WALKS))
-def test_a_walk(seed: int, pace: Pace) -> None:
+@pytest.mark.parametrize("seed", range(FIRST_SEED, FIRST_SEED + WALKS))
+def test_walk_violates_no_invariant(seed: int, exploration_totals: ExplorationTotals) -> None:
     began = time.perf_counter()
-    walk = tell(seed)
-    pace.seconds += time.perf_counter() - began
-    pace.walks += 1
-    pace.events += walk.events
-    pace.checks += walk.watch.checks
+    walk = run_walk(seed)
+    exploration_totals.seconds += time.perf_counter() - began
+    exploration_totals.walks += 1
+    exploration_totals.events += walk.events
+    exploration_totals.checks += walk.watch.checks
 
 
-# --- a walk is told by its seed -------------------------------------------------------------------------------------
+# --- a walk is reproducible from its seed ---------------------------------------------------------------------------
 
 
-def test_a_walk_is_the_same_again() -> None:
+def test_walk_with_same_seed_repeats_exactly() -> None:
     assert trace(5) == trace(5)
 
 
-def test_steps_of_the_time_of_day_change_nothing() -> None:
-    """Nothing reads the time of day, which jumps at every look at it; a pause would show in the monotonic clock."""
+def test_wall_clock_jumps_do_not_change_walk() -> None:
+    """Guards against code that reads the wall clock, which jumps here at each reading.
+
+    A stall of a process shows in the monotonic clock.
+    """
     plain = trace(5)
     jumps = iter(range(10**9))
     with (
@@ -127,8 +130,8 @@
 
 
 def trace(seed: int) -> list[object]:
-    """What came of a walk."""
-    walk = tell(seed)
+    """Run a walk and return its number of events, log of faults, adopted versions and answers."""
+    walk = run_walk(seed)
     adopted = [(process.machine.name, tuple(process.adopted)) for process in walk.world.edges()]
     answers = [(call.number, call.began_at, str(result)) for call, result in walk.world.answers]
     return [walk.events, walk.story, adopted, answers]
@@ -137,8 +140,8 @@
 # --- planted faults -------------------------------------------------------------------------------------------------
 
 
-def contact_from_what_is_heard(self: NodeStanding) -> int | None:
-    """The majority of what arrives, whoever may have had our messages."""
+def contact_from_received_messages(self: NodeStanding) -> int | None:
+    """Planted fault: a control node counts contact by received messages, even if its own messages reach nobody."""
     if not self._is_control:
         return self._relayed_lease.instant
     heard = sorted((peer.last_seen_at for peer in self._control_peers.mesh.peers.values()), reverse=True)
@@ -149,7 +152,7 @@
 
 
 def lease_counted_from_receipt(self: Distribution, now: int, sender: Address, message: LeaseGrant) -> None:
-    """A grant counts as if its request had been sent when it came."""
+    """Planted fault: a lease runs from the receipt of the grant, where it must run from the sending of the request."""
     granted = self.lease._requests.get(message.number)
     if granted is not None:
         granted.sent_at = now
@@ -157,12 +160,12 @@
 
 
 def keepalive_counted_from_receipt(self: PeerClocks, now: int, address: Address, time: SendTime) -> int | None:
-    """What waited on the way looks new."""
+    """Planted fault: the age of a keepalive counts from its receipt, so that a delayed keepalive looks new."""
     return now
 
 
-def take_any_version(self: ItemTable, item: Item) -> bool:
-    """An item may go back."""
+def accept_any_version(self: ItemTable, item: Item) -> bool:
+    """Planted fault: the table replaces an item by one of any other version, also an older one."""
     held = self._items.get(item.name)
     if held is not None and held.version == item.version:
         return False
@@ -171,13 +174,13 @@
     return True
 
 
-def list_everybody(self: MemberList, now: int, is_silent: Callable[[str], bool]) -> tuple[Member, ...]:
-    """Neither suspicions nor deaths count."""
+def list_all_members(self: MemberList, now: int, is_silent: Callable[[str], bool]) -> tuple[Member, ...]:
+    """Planted fault: the list of live members includes suspected and dead members."""
     return tuple(self._members.values())
 
 
-def tell_nothing(*_: object) -> Iterator[Message]:
-    """Digests that differ are passed over."""
+def answer_nothing(*_: object) -> Iterator[Message]:
+    """Planted fault: a node does not answer digests that differ from its own."""
     return iter(())
 
 
@@ -185,28 +188,28 @@
 
 
 def digest_without_workers(self: ItemTable, kind: ItemKind) -> int:
-    """Tables are compared but for the workers."""
+    """Planted fault: the digest of the workers is constant, so that anti-entropy never compares workers."""
     return 0 if kind is ItemKind.WORKER else REAL_DIGEST(self, kind)
 
 
-MOST_FIRST_SEQUENCE = 2  # of a worker's heartbeats: every node has heard of it
+MAX_PUSHED_SEQUENCE = 2  # heartbeat sequence number; up to here a worker's item is new to the nodes and is still pushed
 REAL_SEND_ITEMS = Pushes._send_items
 
 
 def push_no_workers(self: Pushes, receivers: list[Address], pushed: list[Item]) -> None:
-    """What is new of workers that are known is left to the comparison of tables."""
-    is_first = {item.name for item in pushed if item.version.major <= MOST_FIRST_SEQUENCE}
-    told = [item for item in pushed if item.kind is not ItemKind.WORKER or item.name in is_first]
-    REAL_SEND_ITEMS(self, receivers, told)
+    """Planted fault: nodes do not push updates of known workers, so that only anti-entropy can deliver them."""
+    is_first = {item.name for item in pushed if item.version.major <= MAX_PUSHED_SEQUENCE}
+    allowed = [item for item in pushed if item.kind is not ItemKind.WORKER or item.name in is_first]
+    REAL_SEND_ITEMS(self, receivers, allowed)
 
 
 async def acknowledge_at_once(self: RegistryService, worker_id: str, document: dict[str, str]) -> Answer:
-    """The end of a worker is acknowledged before anybody else holds it."""
+    """Planted fault: acknowledges the end of a worker before any other node has stored it."""
     return self._acknowledge(document, True)
 
 
 def reply_without_confirmation(self: Primary, call: int, now: int) -> list[Action]:
-    """A read is answered from what this node holds."""
+    """Planted fault: the primary answers a read from its local state without confirmation by a majority."""
     return [Reply(call, Committed(self._replica.state_at(self._committed)))]
 
 
@@ -214,114 +217,120 @@
 
 
 def delta_without_removals(self: Document, keys: Iterable[str]) -> DocumentDelta:
-    """What was taken out is not told."""
+    """Planted fault: a delta leaves out the removed keys."""
     return DocumentDelta(REAL_DELTA_OF(self, keys).changed)
 
 
 def keys_of_last_change(self: DocumentHistory, base: Version) -> frozenset[str] | None:
-    """The history takes any base for the one before the last change."""
+    """Planted fault: the history returns the keys of the last change alone, whatever the base version."""
     return self._changes[-1].keys if self._changes else None
 
 
-Plant = Callable[[], AbstractContextManager[object]]
+PatchFactory = Callable[[], AbstractContextManager[object]]
 
 
 @dataclass(frozen=True)
-class Fault:
-    """A fault, the trouble that brings it to light, and the invariant that it breaks."""
+class PlantedFault:
+    """A planted fault: its patches, the violation that must reveal it, and the kinds of network fault to draw from."""
 
-    plants: tuple[Plant, ...]
-    found_as: type[ViolationError]
+    patches: tuple[PatchFactory, ...]
+    expected_violation: type[ViolationError]
     kinds: tuple[TroubleKind, ...] = ()
 
 
-def plant(owner: object, name: str, broken: object) -> Plant:
-    """Put something broken in the place of an attribute."""
+def patch_attribute(owner: object, name: str, broken: object) -> PatchFactory:
+    """Return a factory of a patch that replaces the attribute `name` of `owner` with `broken`."""
     return lambda: mock.patch.object(owner, name, broken)
 
 
-FAULTS: dict[str, Fault] = {
-    "contact from what is heard": Fault(
-        (plant(NodeStanding, "contact_instant", property(contact_from_what_is_heard)),),
+FAULTS: dict[str, PlantedFault] = {
+    "contact counted from received messages": PlantedFault(
+        (patch_attribute(NodeStanding, "contact_instant", property(contact_from_received_messages)),),
         VouchedWithoutContactError,
-        (trouble.a_control_is_cut_from_the_others,),
+        (walk_faults.a_control_is_cut_from_the_others,),
     ),
-    "a lease counted from receipt": Fault(
-        (plant(Distribution, "_on_lease_grant", lease_counted_from_receipt),),
+    "a lease counted from receipt": PlantedFault(
+        (patch_attribute(Distribution, "_on_lease_grant", lease_counted_from_receipt),),
         VouchedWithoutContactError,
-        (trouble.a_control_is_cut_from_the_others, trouble.a_process_stands_still),
+        (walk_faults.a_control_is_cut_from_the_others, walk_faults.a_process_stands_still),
     ),
-    "a keepalive counted from receipt": Fault(
-        (plant(PeerClocks, "sent_at", keepalive_counted_from_receipt),),
+    "a keepalive counted from receipt": PlantedFault(
+        (patch_attribute(PeerClocks, "sent_at", keepalive_counted_from_receipt),),
         VouchedWithoutContactError,
-        (trouble.any_sides_are_cut,),
+        (walk_faults.any_sides_are_cut,),
     ),
-    "a stale parent is kept": Fault(
-        (plant(ParentLink, "_is_stale", lambda self, now: False),),
+    "a stale parent is kept": PlantedFault(
+        (patch_attribute(ParentLink, "_is_stale", lambda self, now: False),),
         OldConfigurationError,
-        (trouble.a_control_is_cut_from_the_others,),
+        (walk_faults.a_control_is_cut_from_the_others,),
     ),
-    "adoption that goes back": Fault(
-        (plant(ItemTable, "_take", take_any_version),),
+    "older versions accepted": PlantedFault(
+        (patch_attribute(ItemTable, "_take", accept_any_version),),
         AdoptionWentBackError,
     ),
-    "removals that are not told, and no digest": Fault(
+    "delta without removals and digest unchecked": PlantedFault(
         (
-            plant(Document, "delta_of", delta_without_removals),
-            plant(DocumentReceiver, "_assemble", assemble_unchecked),
+            patch_attribute(Document, "delta_of", delta_without_removals),
+            patch_attribute(DocumentReceiver, "_assemble", assemble_unchecked),
         ),
         MixedConfigurationError,
     ),
-    "a history that forgets, and no digest": Fault(
+    "history of the last change only and digest unchecked": PlantedFault(
         (
-            plant(DocumentHistory, "keys_since", keys_of_last_change),
-            plant(DocumentReceiver, "_assemble", assemble_unchecked),
+            patch_attribute(DocumentHistory, "keys_since", keys_of_last_change),
+            patch_attribute(DocumentReceiver, "_assemble", assemble_unchecked),
         ),
         MixedConfigurationError,
-        (trouble.any_sides_are_cut, trouble.a_process_stands_still),
+        (walk_faults.any_sides_are_cut, walk_faults.a_process_stands_still),
     ),
-    "a directory that ignores suspicions": Fault(
-        (plant(MemberList, "alive", list_everybody), plant(MemberList, "_forget", lambda self, key: None)),
+    "a directory that ignores suspicions": PlantedFault(
+        (
+            patch_attribute(MemberList, "alive", list_all_members),
+            patch_attribute(MemberList, "_forget", lambda self, key: None),
+        ),
         EndedNodeNamedError,
-        (trouble.an_edge_loses_power,),
+        (walk_faults.an_edge_loses_power,),
     ),
-    "no scrub after a reconnect": Fault(
-        (plant(reconcile, "answer_digests", tell_nothing),),
+    "no anti-entropy after a reconnect": PlantedFault(
+        (patch_attribute(reconcile, "answer_digests", answer_nothing),),
         EmptyDirectoryError,
-        (trouble.a_control_restarts,),
+        (walk_faults.a_control_restarts,),
     ),
-    "neither pushes nor a scrub of workers": Fault(
-        (plant(ItemTable, "digest", digest_without_workers), plant(Pushes, "_send_items", push_no_workers)),
+    "neither pushes nor anti-entropy of workers": PlantedFault(
+        (
+            patch_attribute(ItemTable, "digest", digest_without_workers),
+            patch_attribute(Pushes, "_send_items", push_no_workers),
+        ),
         DrainedWorkerInUseError,
-        (trouble.an_edge_is_cut_from_a_control,),
+        (walk_faults.an_edge_is_cut_from_a_control,),
     ),
-    "a worker's end acknowledged at once": Fault(
-        (plant(RegistryService, "_acknowledge_end", acknowledge_at_once),),
+    "a worker's end acknowledged at once": PlantedFault(
+        (patch_attribute(RegistryService, "_acknowledge_end", acknowledge_at_once),),
         AnswerWithoutContactError,
-        (trouble.a_control_is_cut_from_the_others,),
+        (walk_faults.a_control_is_cut_from_the_others,),
     ),
-    "a read without confirmation": Fault(
-        (plant(Primary, "read", reply_without_confirmation),),
+    "a read without confirmation": PlantedFault(
+        (patch_attribute(Primary, "read", reply_without_confirmation),),
         AnswerWithoutContactError,
-        (trouble.a_control_is_cut_from_the_others,),
+        (walk_faults.a_control_is_cut_from_the_others,),
     ),
 }
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_walks_find_a_planted_fault(name: str) -> None:
+def test_walks_reveal_planted_fault(name: str) -> None:
     fault = FAULTS[name]
     with ExitStack() as stack:
-        for each in fault.plants:
+        for each in fault.patches:
             stack.enter_context(each())
-        assert any(finds(seed, fault) for seed in range(WALKS_TO_FIND))
+        assert any(reveals_fault(seed, fault) for seed in range(WALKS_TO_FIND))
 
 
-def finds(seed: int, fault: Fault) -> bool:
-    """Whether a walk through the fault's trouble breaks the invariant."""
+def reveals_fault(seed: int, fault: PlantedFault) -> bool:
+    """Return True if the walk of this seed ends in the violation that the planted fault must cause."""
     try:
-        Walk(seed, kinds=fault.kinds).run(SPAN)
-    except fault.found_as:
+        Walk(seed, kinds=fault.kinds).run(WALK_DURATION_NS)
+    except fault.expected_violation:
         return True
     except ViolationError:
         return False
