--- a/tests/distribution/test_cluster_tree.py
+++ b/tests/distribution/test_cluster_tree.py
@@ -179,7 +179,7 @@
     network.run_until(lambda: network.have([edges[0]], worker), 3 * SECOND)
 
 
-def test_a_lost_push_of_a_configuration_is_asked_for_after_the_next_keepalive() -> None:
+def test_lost_configuration_push_is_requested_after_next_keepalive() -> None:
     network, controls, edges = small_fleet()
     lost: list[Message] = []
 
--- a/tests/leases/test_contact_faults.py
+++ b/tests/leases/test_contact_faults.py
@@ -148,7 +148,7 @@
     (write_sent_once, cuts.test_write_is_sent_again_after_lost_messages),
     (death_declared_without_contact, cuts.test_only_a_node_in_contact_declares_members_dead),
     (newer_versions_not_requested,
-     tree.test_a_lost_push_of_a_configuration_is_asked_for_after_the_next_keepalive),
+     tree.test_lost_configuration_push_is_requested_after_next_keepalive),
     (worker_end_acknowledged_on_earlier_lease,
      partial(registry.test_end_of_worker_is_acknowledged_only_after_majority_stored_it, "draining")),
     (exchange_always_recent,
