--- a/canvasbeam/distribution/__init__.py
+++ b/canvasbeam/distribution/__init__.py
@@ -1,16 +1,18 @@
-"""Keep the item table of every node up to date: pushes down the relay tree, read repair and a background scrub.
+"""Replication of the item table to every node: pushes along the relay tree, read repair and background anti-entropy.
 
-The package is pure: events and the time go in, messages come out. It owns the links of a node (to its parent, its
-children and, between control nodes, to all others) and carries the messages of `leases`, which lies below it. It must
-never replace an item by an older version, nor decide for itself that this node is in contact with the control plane.
+The package does no I/O: events and the time are its input, messages are its output. It owns the links of a node (to its
+parent, to its children and, between control nodes, to all other control nodes) and carries the messages of the package
+`leases`, on which it depends. It must never replace an item by an older version, and it must never decide by itself
+that this node is in contact with the control plane: only the leases decide that.
 
-Start reading at `distribution.py`, the router of events with its table. The parts that it routes to:
+Start reading at `distribution.py`, which routes events and documents the routes in a table. The modules:
 
-- `pushes.py`: changes on their way to others; `tombstones.py`: when deleted items are forgotten;
-- `scrub.py` and `reconciliation.py`: comparisons of tables, and what is answered to them;
-- `parent_link.py`, `topology.py`, `relay_tree.py`: the parent, and the order of possible parents;
-- `relay_children.py`: the children, and the keepalives to them;
-- `control_peers.py`, `control_mesh.py`: a control node's exchange with all others, leases among it;
-- `document_relay.py`, `document_exchange.py` and beside them: the configuration as a document, sent in chunks;
-- `messages.py`, `document_messages.py`, `parameters.py`, `outbox.py`: what is sent, when, and in which order.
+- `pushes.py`: pushes of changed items; `tombstones.py`: the expiry of tombstones;
+- `scrub.py`, `reconciliation.py`: the comparison of item tables between nodes, and the answers to comparisons;
+- `parent_link.py`, `topology.py`, `relay_tree.py`: the link to the parent, and the preference order of parents;
+- `relay_children.py`: the children, and the keepalives sent to children;
+- `control_peers.py`, `control_mesh.py`: the messages between control nodes, including lease messages;
+- `document_*.py`: the transfer of the configuration as a document, in chunks;
+- `node_standing.py`: the depth and contact state of this node; `push_receivers.py`: the receivers of pushes;
+- `messages.py`, `document_messages.py`, `parameters.py`, `outbox.py`: message types, intervals and limits, send order.
 """
--- a/canvasbeam/distribution/control_mesh.py
+++ b/canvasbeam/distribution/control_mesh.py
@@ -1,8 +1,9 @@
-"""The other control nodes, and which of them respond.
+"""The full mesh of control nodes: the other control nodes, and which of them are responsive.
 
-Pure: events and the time in, addresses out. Every control node sends its changes to every other; unresponsive ones are
-probed at a slower pace. That a peer responds decides only what is sent to it: whether this node is in contact with the
-control plane is decided by its lease (`leases/contact.py`), never here.
+The module does no I/O: events and the time are its input, addresses are its output. Every control node sends its
+changes to every other control node, and probes unresponsive ones at a longer interval. Responsiveness of a peer decides
+only what is sent to that peer. The contact of this node with the control plane is decided by its lease
+(`leases/contact.py`), never here.
 """
 
 from __future__ import annotations
@@ -13,30 +14,30 @@
 from canvasbeam.distribution.parameters import DistributionParameters
 from canvasbeam.runtime.settings import Address
 
-NEVER = -(10**18)  # nanoseconds; before any time of a monotonic clock
+NEVER = -(10**18)  # an instant earlier than any time of a monotonic clock, in nanoseconds
 
 
 @dataclass(slots=True)
 class MeshPeer:
-    """Another control node. Times are nanoseconds of this node's monotonic clock."""
+    """Another control node. All times are nanoseconds of the local monotonic clock."""
 
     known_since: int
-    is_listed: bool  # a member now; otherwise a seed, or one that sent something
+    is_listed: bool  # True for a current member; False for a seed or any other node that sent a message
     last_seen_at: int = NEVER
     retried_at: int = NEVER
 
 
 class ControlMesh:
-    """The other control nodes, and when each was seen last."""
+    """All control nodes except this node, with the arrival time of the newest message from each of them."""
 
     def __init__(self, parameters: DistributionParameters) -> None:
         self.peers: dict[Address, MeshPeer] = {}
         self._parameters = parameters
 
     def list_peers(self, now: int, members: Iterable[Address], seeds: Iterable[Address]) -> None:
-        """Take the present members, and add seeds.
+        """Set the current members, and add the members and the seeds to the peers.
 
-        What is not a member is forgotten when it has been unresponsive for long while a majority responds.
+        No peer is removed here: `forget_lost` removes peers that are not members.
         """
         listed = set(members)
         for address, peer in self.peers.items():
@@ -46,15 +47,15 @@
                 self.peers[address] = MeshPeer(now, address in listed)
 
     def listed(self) -> tuple[Address, ...]:
-        """Return the peers that are members."""
+        """Return the addresses of the peers that are current members."""
         return tuple(address for address, peer in self.peers.items() if peer.is_listed)
 
     def addresses(self) -> Iterable[Address]:
-        """Return all peers."""
+        """Return the addresses of all peers."""
         return self.peers.keys()
 
     def on_message(self, now: int, address: Address) -> bool:
-        """Note that something was received from a peer; return whether it was unresponsive before."""
+        """Record a message from `address`, adding an unknown peer; return True if the peer was unresponsive before."""
         peer = self.peers.get(address)
         if peer is None:
             peer = self.peers[address] = MeshPeer(now, False)
@@ -63,11 +64,11 @@
         return was_unresponsive
 
     def responsive(self, now: int) -> tuple[Address, ...]:
-        """Return the peers from which something was received within the time-out."""
+        """Return the peers from which a message was received within `peer_timeout_ns`."""
         return tuple(address for address, peer in self.peers.items() if self._is_responsive(now, peer))
 
     def take_due_retries(self, now: int) -> tuple[Address, ...]:
-        """Return the unresponsive peers that must be probed now, and note that they are."""
+        """Return the unresponsive peers whose retry interval has elapsed, and restart the interval for each of them."""
         due = []
         for address, peer in self.peers.items():
             if not self._is_responsive(now, peer) and now - peer.retried_at >= self._parameters.mesh_retry_interval_ns:
@@ -76,7 +77,10 @@
         return tuple(due)
 
     def forget_lost(self, now: int) -> bool:
-        """Forget peers that are gone for good, where half of all respond; return whether there were any."""
+        """Remove non-member peers that sent nothing for `mesh_forget_after_ns`; return True if any was removed.
+
+        Remove none while fewer than half of the control nodes, including this node, are responsive.
+        """
         responsive = 1 + len(self.responsive(now))
         total = 1 + len(self.peers)
         if 2 * responsive < total:
--- a/canvasbeam/distribution/control_peers.py
+++ b/canvasbeam/distribution/control_peers.py
@@ -1,8 +1,8 @@
-"""What a control node exchanges with all other control nodes: lease requests, grants, and comparisons of tables.
+"""The messages between one control node and all other control nodes: lease requests, grants, and table comparisons.
 
-Pure: events and the time in, messages out. Joins the mesh (who responds) and the renewal of the contact lease
-(`leases/lease_renewal.py`), and owns the rest: what granters held beyond this node, and when tables are compared.
-A data-plane node has one too, whose mesh stays empty.
+The module does no I/O: events and the time are its input, messages are its output. It combines the mesh of control
+nodes (`control_mesh.py`) with the renewal of the contact lease (`leases/lease_renewal.py`). It owns the newer versions
+that grants reported, and the schedule of table comparisons. A data-plane node has a `ControlPeers` with an empty mesh.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ControlPeers:
-    """One control node's links to the others."""
+    """The links of one control node to the other control nodes."""
 
     def __init__(self, me: Address, table: ItemTable, parameters: DistributionParameters, seed: int, now: int) -> None:
         self.mesh = ControlMesh(parameters)
@@ -30,63 +30,64 @@
         )
         self._table = table
         self._parameters = parameters
-        self._ahead: dict[Address, ControlVersions] = {}  # granters that held more than this node
+        self._ahead: dict[Address, ControlVersions] = {}  # versions in grants newer than the local versions, by granter
         self._next_compare_at = now + parameters.mesh_compare_interval_ns
 
-    # --- who the others are -----------------------------------------------------------------------
+    # --- peers and electorates --------------------------------------------------------------------
 
     def set_electorates(self, now: int, electorates: Iterable[Iterable[Address]]) -> None:
-        """Require a majority of each of these for the lease.
+        """Require a majority of each electorate for the lease.
 
-        They are the witnesses of the newest view known and, until it is in force, those of the one before it.
+        The electorates are the witnesses of the newest known view and, until that view is in force, the witnesses of
+        the previous view.
         """
         self.renewal.set_electorates(electorates)
         self.list_peers(now, self.mesh.listed(), ())
 
     def list_peers(self, now: int, members: Iterable[Address], seeds: Iterable[Address]) -> None:
-        """Take the control nodes among the members, and the seeds."""
+        """Set the current control nodes `members`; also add the seeds and the voters of the lease as peers."""
         self.mesh.list_peers(now, tuple(members), (*seeds, *self.renewal.voters()))
         self.renewal.update_electorates()
 
     # --- events -----------------------------------------------------------------------------------
 
     def on_message(self, now: int, sender: Address) -> list[Send]:
-        """Note a message: a peer that responds again compares tables, and is asked for a grant at once."""
+        """Record a message; if the sender was unresponsive, compare tables and make the next lease request due now."""
         if sender not in self.mesh.peers or not self.mesh.on_message(now, sender):
             return []
         self.renewal.make_due(now)
         return [Send((sender,), reconciliation.compare(self._table))]
 
     def on_lease_request(self, now: int, sender: Address, message: LeaseRequest) -> list[Send]:
-        """Return the grant of a request whose items are in the table by now."""
+        """Return the grant of a request; the caller must have merged the items of the request into the table before."""
         if sender not in self.mesh.peers:
             self.mesh.on_message(now, sender)
             self.renewal.update_electorates()
         return _sends([self.renewal.on_request(sender, message)])
 
     def on_lease_grant(self, sender: Address, message: LeaseGrant) -> bool:
-        """Count a grant; return whether the contact instant moved."""
+        """Record a grant of a lease request; return True if the contact instant advanced."""
         own_versions = ControlVersions.of(self._table)
         if not own_versions.covers(message.versions):
             self._ahead[sender] = message.versions
         return self.renewal.on_grant(sender, message, own_versions)
 
     def begin_write(self, now: int, items: Iterable[Item]) -> int:
-        """Begin a request with items that a majority shall hold, and return its number."""
+        """Begin a write of items to a majority of the control nodes; return the number of the write."""
         return self.renewal.begin_write(now, items)
 
     def send_write(self, now: int, number: int) -> list[Send]:
-        """Return the request of a write to the responsive peers."""
+        """Return the messages that send a write to the responsive peers."""
         return _sends(self.renewal.send_write(now, number))
 
     # --- time -------------------------------------------------------------------------------------
 
     def wake(self) -> int:
-        """Return when `tick` has something to do at the latest."""
+        """Return the time by which `tick` must be called next."""
         return self.renewal.wake()
 
     def tick(self, now: int) -> list[Send]:
-        """Ask for a lease, and for what the others hold beyond this node, where that is due."""
+        """Remove lost peers; if a lease request is due, also request newer versions and compare tables."""
         if self.mesh.forget_lost(now):
             self.renewal.update_electorates()
         if not self.renewal.is_due(now):
@@ -95,7 +96,7 @@
         return [*self._request_newer(), *_sends(self.renewal.request(now)), *self._compare(now)]
 
     def _request_newer(self) -> list[Send]:
-        """Ask for what a granter held a while ago and no push has brought."""
+        """Request the versions that grants reported in the last interval and that no push has delivered since."""
         ahead, self._ahead = self._ahead, {}
         return [
             Send((granter,), request)
--- a/canvasbeam/distribution/distribution.py
+++ b/canvasbeam/distribution/distribution.py
@@ -1,23 +1,23 @@
-"""How one node's item table is kept like all others': the router of its events, and the parts that act on them.
+"""Replication of one node's item table: routes the node's events to the modules that handle each event.
 
-Pure: events and the time in whole nanoseconds in, messages out; the table is the only state shared with others. A
-change is pushed at once to everybody next to this node but the one who sent it. Whatever a push misses, the comparison
-of digests finds: when a link begins, and every few seconds on each link.
+The module does no I/O: events and the time in integer nanoseconds are its input, messages are its output; the item
+table is the only state shared with other packages. A change is pushed at once to all neighbours except its sender.
+Changes that a push misses are found by the comparison of digests, at the start of a link and every few seconds on it.
 
-| event | acted on by |
+| event | handled by |
 | --- | --- |
 | `Subscribe`, `Unsubscribe`, `Renew` of a child | `relay_children.py` |
-| `Keepalive`, `Refuse` of a parent or a candidate | `parent_link.py`, then the relayed lease and the scrub |
+| `Keepalive`, `Refuse` of a parent or a candidate | `parent_link.py`, then `RelayedLease` and `scrub.py` |
 | `LeaseRequest`, `LeaseGrant` of a control node | `control_peers.py` |
 | `Update` | `pushes.py` |
 | `Versions`, `Request`, `Compare` | `scrub.py` |
 | `Announce`, `DocumentRequest`, `DocumentChunk` | `document_relay.py` |
-| a connection that failed | children, documents, the link to the parent |
-| the time, on a control node | `control_peers.py`, then `relay_children.py`, `pushes.py` |
-| the time, on a data-plane node | `parent_link.py`, `scrub.py`, then `relay_children.py`, `pushes.py` |
+| connection failure | `relay_children.py`, `document_exchange.py`, `parent_link.py` |
+| tick on a control node | `control_peers.py`, then `relay_children.py`, `pushes.py` |
+| tick on a data-plane node | `parent_link.py`, `scrub.py`, then `relay_children.py`, `pushes.py` |
 
-`Distribution` keeps no state of its own but the relayed lease. Every part appends to one outbox, in the order in which
-the events are routed; that order is part of the behaviour.
+`Distribution` has no state of its own except the relayed lease. All modules append messages to one outbox in the order
+in which events are routed; that order is part of the behaviour.
 """
 
 from __future__ import annotations
@@ -61,20 +61,20 @@
 from canvasbeam.leases.messages import LeaseGrant, LeaseRequest
 from canvasbeam.runtime.settings import Address
 
-# The message is of the type under which its handler is listed; the type checker can't say so of a mapping.
+# A handler is called only with the message type of its key; a mapping type cannot express this, hence `Any`.
 Handler = Callable[[int, Address, Any], None]
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessStart:
-    """What differs from one start of a process to the next."""
+    """The values that differ between two starts of a process."""
 
-    seed: int  # of all that is drawn; also the incarnation that keepalives carry
-    now: int  # nanoseconds of the monotonic clock
+    seed: int  # seed of all random choices; also the process incarnation in keepalives
+    now: int  # start time, nanoseconds of the monotonic clock
 
 
 class Distribution:
-    """One node's part in the distribution of items."""
+    """The replication of items on one node."""
 
     def __init__(
         self,
@@ -116,7 +116,7 @@
         table.add_listener(self._on_items)
 
     def _message_handlers(self) -> Mapping[type[Message], Handler]:
-        """Return the router: which part acts on which message."""
+        """Return the handler of each message type."""
         return {
             Subscribe: self._children.on_subscribe,
             Unsubscribe: self._children.on_unsubscribe,
@@ -137,20 +137,20 @@
     # --- events -----------------------------------------------------------------------------------
 
     def receive(self, now: int, sender: Address, message: Message) -> None:
-        """Take a message of another node."""
+        """Handle a message from another node; ignore a message from this node."""
         if sender == self.me.address:
             return
         self._note_seen(now, sender)
         self._handlers[type(message)](now, sender, message)
 
     def on_disconnected(self, now: int, address: Address) -> None:
-        """Take the failure of the connection to a node."""
+        """Handle the failure of the connection to `address`."""
         self._children.remove(address)
         self.documents.on_disconnected(address)
         self.link.on_disconnected(now, address)
 
     def tick(self, now: int) -> None:
-        """Do what is due."""
+        """Run all timers that are due."""
         if self.me.is_control:
             self._outbox.extend(self.control_peers.tick(now))
         else:
@@ -162,51 +162,55 @@
         self._pushes.forget_tombstones(now)
 
     def set_locations(self, now: int, locations: Sequence[NodeLocation]) -> None:
-        """Take the locations of the present members."""
+        """Set the locations of the current members."""
         self._topology.set_locations(locations)
         if self.me.is_control:
             self._list_control_peers(now)
 
     def set_seeds(self, now: int, seeds: Iterable[Address]) -> None:
-        """Take the seeds that changed settings name."""
+        """Set the seed addresses after a change of the settings."""
         self._topology.set_seeds(seeds)
         if self.me.is_control:
             self._list_control_peers(now)
 
     def set_electorates(self, now: int, electorates: Iterable[Iterable[Address]]) -> None:
-        """Require a majority of each of these for a lease.
+        """Require a majority of each electorate for a lease; without effect on a data-plane node.
 
-        They are the witnesses of the newest view known and, until it is in force, those of the one before it.
+        The electorates are the witnesses of the newest known view and, until that view is in force, the witnesses of
+        the previous view.
         """
         if self.me.is_control:
             self.control_peers.set_electorates(now, electorates)
 
-    # --- what the node itself asks for ------------------------------------------------------------
+    # --- operations of this node ------------------------------------------------------------------
 
     def publish(self, now: int, items: Iterable[Item]) -> list[Item]:
-        """Merge items of this node's own and push them on; return what was new."""
+        """Merge items created by this node and push the new ones; return the items that were new."""
         return self._pushes.merge(now, items, None)
 
     def refresh(self, kind: ItemKind, key: str) -> None:
-        """Ask for a newer version of an item than the one held (read repair)."""
+        """Request a version of an item that is newer than the stored version (read repair)."""
         self._scrub.refresh(kind, key)
 
     def begin_write(self, now: int, items: Iterable[Item]) -> int:
-        """Have a majority of the control nodes hold these items; `lease.is_written` tells when it does."""
+        """Start a write of items to a majority of the control nodes; return its number.
+
+        `lease.is_written(number)` is True once a majority stores the items.
+        """
         number = self.control_peers.begin_write(now, items)
         self._outbox.extend(self.control_peers.send_write(now, number))
         return number
 
     def flush(self, now: int) -> None:
-        """Push all changes now."""
+        """Push all pending changes now."""
         self._pushes.flush(now)
 
     def take_actions(self) -> list[Send]:
-        """Return what is to be sent, once."""
+        """Return the messages to send, and remove them from the outbox."""
         return self._outbox.take()
 
     def wake(self) -> int:
-        """Return when `tick` has something to do at the latest."""
+        """Return the time by which `tick` must be called next."""
         times = [self.control_peers.wake() if self.me.is_control else self.link.wake()]
         if self.me.is_control or self._children:
             times.append(self._children.wake())
@@ -215,16 +219,16 @@
             times.append(push_at)
         return min(times)
 
-    # --- what others ask of the node --------------------------------------------------------------
+    # --- state ------------------------------------------------------------------------------------
 
     @property
     def lease(self) -> ContactLease:
-        """The contact lease of a control node; on a data-plane node, one that nobody grants."""
+        """The contact lease of a control node; on a data-plane node, a lease that is never granted."""
         return self.standing.lease
 
     @property
     def children(self) -> Mapping[Address, Child]:
-        """The children in the relay tree."""
+        """The children of this node in the relay tree, by address."""
         return self._children.children
 
     # --- messages ---------------------------------------------------------------------------------
@@ -252,7 +256,7 @@
         if has_contact and self.relayed_lease.on_grant(grant, ControlVersions.of(self.table)):
             self._children.hasten_keepalive(now)
         if message.time.requested_at is None:
-            # What is not held by now was lost on the way: a push comes before a keepalive that names it.
+            # A parent pushes a version before it sends a keepalive with that version: a version still missing was lost.
             self._scrub.request_newer(parent.address, message.versions)
 
     def _on_refuse(self, now: int, sender: Address, message: Refuse) -> None:
@@ -262,7 +266,7 @@
         self._pushes.merge(now, message.items, sender)
 
     def _on_lease_request(self, now: int, sender: Address, message: LeaseRequest) -> None:
-        """Hold the items first, and grant at once."""
+        """Merge the items before granting the request: a grant states that this node stores the items."""
         if self.me.is_control:
             self._pushes.merge(now, message.items, sender)
             self._outbox.extend(self.control_peers.on_lease_request(now, sender, message))
@@ -275,7 +279,7 @@
     # --- helpers ----------------------------------------------------------------------------------
 
     def _on_items(self, items: Sequence[Item]) -> None:
-        """Take changes of the table: what grants wait for may be held now."""
+        """Handle changes of the table; advance the leases, because grants can wait for the versions now stored."""
         self.documents.on_items(items)
         if any(item.key == CURRENT for item in items):
             own_versions = ControlVersions.of(self.table)
@@ -284,7 +288,7 @@
 
     def _send_keepalives(self, now: int) -> None:
         if self._children.begin_keepalives(now):
-            self._pushes.flush_pending(now)  # a keepalive covers what was pushed before it
+            self._pushes.flush_pending(now)  # a keepalive must follow the push of every version that it reports
             self._children.send_keepalives(now)
 
     def _list_control_peers(self, now: int) -> None:
--- a/canvasbeam/distribution/document_exchange.py
+++ b/canvasbeam/distribution/document_exchange.py
@@ -1,7 +1,7 @@
-"""One node's part in the transfer of the configuration, where that is a document: what is held, offered and fetched.
+"""The transfer of the configuration to and from one node, if the configuration is a document.
 
-Pure. Joins the receiver and the sender, and keeps the index of the newest configuration that is known of. That
-number travels ahead of the configuration itself: a node that knows it is behind can say so.
+The module does no I/O. It combines the receiver and the sender of documents, and keeps the index of the newest known
+configuration. The index is announced ahead of the configuration, so that an outdated node can report its state.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 
 
 class DocumentExchange:
-    """The configuration of one node, as it comes and as it goes."""
+    """The receiver and the sender of the configuration on one node."""
 
     def __init__(self) -> None:
-        self.stored = 0
-        self.newest = 0
+        self.stored = 0  # index of the stored configuration
+        self.newest = 0  # index of the newest known configuration
         self._receiver = DocumentReceiver()
         self._sender = DocumentSender()
 
     @property
     def is_behind(self) -> bool:
-        """Whether there is a newer configuration than the one held."""
+        """True if a newer configuration than the stored one is known."""
         return self.newest > self.stored
 
     def on_items(self, items: Iterable[Item]) -> None:
-        """Take items that were merged into the table."""
+        """Record a new configuration among items that were merged into the table."""
         for item in items:
             if item.kind is ItemKind.CONFIGURATION and item.key == CURRENT and not item.deleted:
                 self.stored = item.version.major
@@ -40,27 +40,27 @@
                     self._sender.hold(item.version, item.document)
 
     def note_newest(self, index: int) -> Announce | None:
-        """Note a configuration that is known of; return an announcement where none as new was known."""
+        """Record the index of a known configuration; return an announcement if it is the newest known so far."""
         if index <= self.newest:
             return None
         self.newest = index
         return Announce(self.stored, index)
 
     def on_offer(self, now: int, sender: Address, message: Announce) -> Sequence[DocumentRequest | Announce]:
-        """Return the request to a node with a newer configuration, or the announcement of a newer one to it."""
+        """Return a request if the sender stores a newer configuration; announce a stored one unknown to the sender."""
         if message.stored < self.stored:
             return (Announce(self.stored, self.newest),) if message.newest < self.stored else ()
         request = self._receiver.on_offer(now, sender, Version(message.stored))
         return (request,) if request is not None else ()
 
     def on_request(self, request: DocumentRequest) -> DocumentChunk | None:
-        """Return the chunk that a node asks for; none where there is nothing to send."""
+        """Return the requested chunk, or None if this node has no newer document than the requester."""
         return self._sender.answer(request)
 
     def on_chunk(self, now: int, sender: Address, chunk: DocumentChunk) -> Received:
-        """Take a chunk; return what follows from it."""
+        """Handle a chunk; return the next request and the completed document, if any."""
         return self._receiver.on_chunk(now, sender, chunk)
 
     def on_disconnected(self, address: Address) -> None:
-        """Take the failure of the connection to a node."""
+        """Handle the failure of the connection to `address`."""
         self._receiver.on_disconnected(address)
--- a/canvasbeam/distribution/document_history.py
+++ b/canvasbeam/distribution/document_history.py
@@ -1,6 +1,7 @@
-"""Which keys of a document changed from version to version, for as far back as is kept.
+"""A bounded history of the keys that changed between successive versions of a document.
 
-Pure. The history is that of one process: a version that it skipped is none that it can start a delta from.
+The module does no I/O. The history covers the versions that this process has stored: a delta cannot start from
+a version that the process skipped.
 """
 
 from __future__ import annotations
@@ -12,26 +13,26 @@
 from canvasbeam.item_table.items import Version
 
 MAX_CHANGES = 64
-MAX_KEYS = 8192  # named by all changes that are kept
+MAX_KEYS = 8192  # sum of the number of keys in all kept changes
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentChange:
-    """One step, from a version to the next that this process held."""
+    """The keys that changed from version `before` to the next version that this process stored."""
 
     before: Version
     keys: frozenset[str]
 
 
 class DocumentHistory:
-    """The steps that led to the document that is held."""
+    """The changes that led to the stored document, oldest first."""
 
     def __init__(self) -> None:
         self._changes: deque[DocumentChange] = deque()
         self._named = 0
 
     def note(self, before: Version, old: Document, new: Document) -> None:
-        """Note that the document was replaced."""
+        """Record that document `old`, of version `before`, was replaced by `new`."""
         change = DocumentChange(before, new.changed_keys(old))
         self._changes.append(change)
         self._named += len(change.keys)
@@ -39,7 +40,7 @@
             self._named -= len(self._changes.popleft().keys)
 
     def keys_since(self, base: Version) -> frozenset[str] | None:
-        """Return the keys that changed since a version; none where the history does not reach back to it."""
+        """Return the keys that changed since version `base`, or None if the history does not contain `base`."""
         keys: set[str] = set()
         for change in reversed(self._changes):
             keys |= change.keys
--- a/canvasbeam/distribution/document_messages.py
+++ b/canvasbeam/distribution/document_messages.py
@@ -1,4 +1,4 @@
-"""The messages by which a document travels from a node that holds it to one that lacks it."""
+"""The messages that transfer a document from a node that stores it to a node that lacks it."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """The configuration that the sender holds, and the newest that it knows of; sent as soon as either changes."""
+    """The indexes of the sender's stored and newest known configuration; sent as soon as either changes."""
 
-    stored: int
-    newest: int
+    stored: int  # index of the stored configuration
+    newest: int  # index of the newest known configuration
 
 
 @dataclass(frozen=True, slots=True)
 class TransferId:
-    """What is transferred: a version of the document, from a base that the receiver holds or, without one, complete."""
+    """The identity of a transfer: a version of the document, as a delta from `base`, or complete if `base` is None."""
 
     version: Version
     base: Version | None = None
@@ -28,19 +28,19 @@
 class DocumentRequest:
     """A request for the newest document, or for the next chunk of a transfer."""
 
-    base: Version | None  # the version that the sender holds; none where it needs the whole document
+    base: Version | None  # the version stored by the requester; None to request the complete document
     transfer: TransferId | None = None
-    chunk: int = 0  # of the transfer, from 0
+    chunk: int = 0  # number of the requested chunk, from 0
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentChunk:
-    """One chunk of a transfer; all chunks together are the delta from the base."""
+    """One chunk of a transfer; all chunks of a transfer together form the delta from the base."""
 
     transfer: TransferId
     chunk: int
     chunk_count: int
-    digest: int  # of the document that results
+    digest: int  # digest of the complete resulting document
     delta: DocumentDelta
 
 
--- a/canvasbeam/distribution/document_receiver.py
+++ b/canvasbeam/distribution/document_receiver.py
@@ -1,15 +1,15 @@
-"""How a node that lacks the newest document gets it: one transfer at a time, in chunks, from a node that offers it.
+"""The receiver of document transfers: one transfer at a time, in chunks, from a node that offers a newer version.
 
-Pure: events and the time in, messages out. What was received becomes a document only when all chunks are there and the
-digest is the sender's: no state is ever a mixture of two versions.
+The module does no I/O: events and the time are its input, messages are its output. Received chunks become a document
+only after the last chunk, and only if the digest matches the sender's: no document ever mixes two versions.
 
 | state | from | to |
 | --- | --- | --- |
-| idle | the start | waiting: a node offers a version above the one held |
-| waiting | | waiting: a chunk came, and there are more; idle: the last chunk came; the sender is gone or timed out |
+| idle | process start | waiting: a node offers a version newer than the stored one |
+| waiting | | waiting: a chunk arrived, more are missing; idle: last chunk arrived, sender disconnected or timed out |
 
-A delta that does not fit (another base, a digest that is off) is followed by a request for the whole. While a transfer
-runs, newer offers only take the place of the older one: what is between them is skipped.
+After a delta with a wrong base or a digest mismatch, the complete document is requested. While a transfer is running, a
+newer offer only replaces the recorded offer: versions between the two are skipped.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from canvasbeam.runtime.settings import Address
 from canvasbeam.units import MILLISECOND
 
-CHUNK_TIMEOUT_NS = 700 * MILLISECOND  # for one chunk
+CHUNK_TIMEOUT_NS = 700 * MILLISECOND  # timeout for the answer to one chunk request
 
 
 @dataclass(frozen=True, slots=True)
 class VersionedDocument:
-    """The document of a node, and its version."""
+    """A document and its version."""
 
     version: Version
     document: Document
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class _Collected:
-    """The chunks of a transfer that have come."""
+    """The changes in all received chunks of a transfer."""
 
     transfer: TransferId
     chunk_count: int
@@ -45,12 +45,12 @@
 
 @dataclass(slots=True)
 class _Waiting:
-    """A request that was sent."""
+    """The pending request for a chunk."""
 
     sender: Address
     requested_at: int
     collected: _Collected | None = None
-    number: int = 0  # of the chunk that is wanted
+    number: int = 0  # number of the requested chunk
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,17 +61,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """What follows from a chunk: a request to its sender, a document that is whole, or both."""
+    """The result of handling a chunk: the next request to its sender, a completed document, both, or neither."""
 
     request: DocumentRequest | None = None
     document: VersionedDocument | None = None
 
 
 class DocumentReceiver:
-    """One node's transfers, one after the other."""
+    """The state of one node's incoming transfer, and the stored document."""
 
     def __init__(self) -> None:
-        self.mismatches = 0  # transfers whose digest was off
+        self.mismatches = 0  # transfers with a digest mismatch, since process start
         self._version: Version | None = None
         self._stored: VersionedDocument | None = None
         self._waiting: _Waiting | None = None
@@ -79,12 +79,12 @@
         self._needs_full_transfer = False
 
     def hold(self, version: Version, document: Document | None) -> None:
-        """Note the version that this node holds now, from wherever it came; as a document, if it can be a base."""
+        """Set the stored version, however received; `document` is None if the version cannot be the base of a delta."""
         self._version = version
         self._stored = VersionedDocument(version, document) if document is not None else None
 
     def on_offer(self, now: int, sender: Address, version: Version) -> DocumentRequest | None:
-        """Note that a node holds this version; return the request to it, if there is to be one."""
+        """Record that `sender` stores `version`; return a request to the sender, or None if no transfer is to start."""
         if not self._lacks(version):
             return None
         if self._offer is None or self._offer.sender == sender or self._offer.version < version:
@@ -94,7 +94,7 @@
         return self._request_from(now, sender)
 
     def on_chunk(self, now: int, sender: Address, chunk: DocumentChunk) -> Received:
-        """Take a chunk, or drop one that is not waited for; return what follows."""
+        """Handle a chunk; ignore a chunk other than the requested one."""
         waiting = self._waiting
         if waiting is None or waiting.sender != sender:
             return Received()
@@ -107,7 +107,7 @@
         return self._complete(now, waiting, collected, chunk.digest)
 
     def on_disconnected(self, address: Address) -> None:
-        """Give up the transfer from a node whose connection failed."""
+        """Abort the transfer from `address` and drop the offer of that node, because its connection failed."""
         if self._waiting is not None and self._waiting.sender == address:
             self._waiting = None
         if self._offer is not None and self._offer.sender == address:
@@ -122,12 +122,12 @@
         return None if self._stored is None or self._needs_full_transfer else self._stored.version
 
     def _request_from(self, now: int, sender: Address) -> DocumentRequest:
-        """Enter `waiting` for a new transfer; the one place that does."""
+        """Enter state `waiting` for a new transfer; no other method enters this state."""
         self._waiting = _Waiting(sender, now)
         return DocumentRequest(self._base())
 
     def _collect(self, waiting: _Waiting, chunk: DocumentChunk) -> _Collected | None:
-        """Add a chunk to those of its transfer; the first of another transfer begins that one."""
+        """Add a chunk to its transfer; a first chunk starts the transfer. Return None for an unexpected chunk."""
         if chunk.chunk == 0 and waiting.number == 0:
             waiting.collected = _Collected(chunk.transfer, chunk.chunk_count)
         elif chunk.chunk == 0 and waiting.collected is not None and chunk.transfer != waiting.collected.transfer:
@@ -145,7 +145,7 @@
         complete = self._assemble(collected, digest)
         if complete is None:
             self._needs_full_transfer = collected.transfer.base is not None
-            # The whole is asked for at once; where that was off too, the next offer begins anew.
+            # Request the complete document at once; if a complete transfer failed, wait for the next offer.
             return Received(self._request_from(now, waiting.sender) if self._needs_full_transfer else None)
         self._needs_full_transfer = False
         if not self._lacks(complete.version):
@@ -154,7 +154,7 @@
         return Received(self._request_offer(now, waiting.sender), complete)
 
     def _assemble(self, collected: _Collected, digest: int) -> VersionedDocument | None:
-        """Return the document that the chunks make; none where they do not fit."""
+        """Return the document assembled from the chunks, or None after a wrong base or a digest mismatch."""
         base = collected.transfer.base
         document = Document()
         if base is not None:
@@ -168,7 +168,7 @@
         return VersionedDocument(collected.transfer.version, document)
 
     def _request_offer(self, now: int, sender: Address) -> DocumentRequest | None:
-        """Return a request for a newer version that the sender offered in the meantime."""
+        """Return a request for a newer version that `sender` offered during the transfer, or None."""
         offer, self._offer = self._offer, None
         if offer is None or offer.sender != sender or not self._lacks(offer.version):
             return None
--- a/canvasbeam/distribution/document_relay.py
+++ b/canvasbeam/distribution/document_relay.py
@@ -1,7 +1,8 @@
-"""The configuration's way through this node, where it is a document: messages in, chunks and announcements out.
+"""The relaying of the configuration through this node, if the configuration is a document.
 
-Pure. Joins the exchange of documents (`document_exchange.py`) to the item table and to the children, which are
-notified of a newer configuration at once, long before this node holds it.
+The module does no I/O: document messages are its input, chunks and announcements are its output. It connects the
+transfer of documents (`document_exchange.py`) with the item table and with the children. Children are notified of a
+newer configuration at once, long before this node stores that configuration.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class DocumentRelay:
-    """One node's part in passing the configuration on."""
+    """Relays the configuration document through one node, to its children in the relay tree."""
 
     def __init__(self, documents: DocumentExchange, pushes: Pushes, children: RelayChildren, outbox: Outbox) -> None:
         self._documents = documents
@@ -25,24 +26,24 @@
         self._outbox = outbox
 
     def note_newest(self, index: int) -> None:
-        """Note that a configuration is known of, and tell the children where none as new was."""
+        """Record the index of a known configuration; announce an index higher than all before to the children."""
         announcement = self._documents.note_newest(index)
         if announcement is not None:
             self._children.send(announcement)
 
     def on_announce(self, now: int, sender: Address, message: Announce) -> None:
-        """Ask for a configuration that is newer than ours, or announce ours where that is newer."""
+        """Request a configuration that is newer than the stored one; announce a stored one unknown to the sender."""
         self.note_newest(message.newest)
         self._outbox.reply(sender, self._documents.on_offer(now, sender, message))
 
     def on_request(self, now: int, sender: Address, message: DocumentRequest) -> None:
-        """Send the chunk that is asked for, where there is one."""
+        """Send the requested chunk, if this node has a newer document than the requester."""
         chunk = self._documents.on_request(message)
         if chunk is not None:
             self._outbox.send((sender,), chunk)
 
     def on_chunk(self, now: int, sender: Address, message: DocumentChunk) -> None:
-        """Take a chunk; a document that is complete goes into the table and on to the neighbours."""
+        """Handle a chunk; merge a completed document into the table and announce it to the neighbours."""
         received = self._documents.on_chunk(now, sender, message)
         if received.document is not None:
             version, document = received.document.version, received.document.document
--- a/canvasbeam/distribution/document_sender.py
+++ b/canvasbeam/distribution/document_sender.py
@@ -1,7 +1,8 @@
-"""What a node that holds a document sends to one that asks for it: a delta where it can, in chunks of bounded size.
+"""The sender of document transfers: a delta if the history allows, else the complete document, in bounded chunks.
 
-Pure. The receiver asks for each chunk, so that one is on the way to each receiver at a time: a slow link holds up no
-more than that. A transfer that was begun can be finished after the document was replaced; only a few are kept for that.
+The module does no I/O. The receiver requests each chunk, so at most one chunk per receiver is in flight: a slow link
+delays no more than one chunk. A receiver can finish a transfer after the document was replaced, because the sender
+keeps the `MAX_TRANSFERS` transfers started last.
 """
 
 from __future__ import annotations
@@ -15,26 +16,26 @@
 from canvasbeam.item_table.document import Document
 from canvasbeam.item_table.items import Version
 
-MAX_CHUNK_BYTES = 96 << 10  # of keys and entries, before compression to about a tenth
-MAX_TRANSFERS = 4
+MAX_CHUNK_BYTES = 96 << 10  # keys and entries, uncompressed; compression reduces them to about a tenth
+MAX_TRANSFERS = 4  # transfers kept, least recently started dropped first
 
 
 @dataclass(frozen=True, slots=True)
 class Transfer:
-    """One transfer, as it is offered to whoever asks for it."""
+    """One transfer, shared by all receivers with the same base and version."""
 
     id: TransferId
     document: Document
-    chunks: tuple[tuple[str, ...], ...]  # the keys of each
+    chunks: tuple[tuple[str, ...], ...]  # the keys of each chunk
 
     def chunk(self, number: int) -> DocumentChunk:
-        """Return one chunk."""
+        """Return the chunk with this number, from 0."""
         delta = self.document.delta_of(self.chunks[number])
         return DocumentChunk(self.id, number, len(self.chunks), self.document.digest, delta)
 
 
 class DocumentSender:
-    """Answers the requests of receivers."""
+    """Answers the document requests of other nodes."""
 
     def __init__(self) -> None:
         self._history = DocumentHistory()
@@ -43,13 +44,13 @@
         self._transfers: OrderedDict[TransferId, Transfer] = OrderedDict()
 
     def hold(self, version: Version, document: Document) -> None:
-        """Note the document that this node holds now."""
+        """Set the stored document and its version; record the change in the history."""
         if self._version is not None:
             self._history.note(self._version, self._document, document)
         self._version, self._document = version, document
 
     def answer(self, request: DocumentRequest) -> DocumentChunk | None:
-        """Return the chunk that is asked for, or the first of a transfer that fits; none where there is none."""
+        """Return the requested chunk, or the first chunk of a new transfer; None if the requester is up to date."""
         if request.transfer is not None and request.chunk:
             transfer = self._transfers.get(request.transfer)
             if transfer is not None and request.chunk < len(transfer.chunks):
@@ -72,7 +73,7 @@
 
 
 def _chunks(document: Document, keys: Iterable[str]) -> tuple[tuple[str, ...], ...]:
-    """Return the keys in groups whose entries have bounded size together; one group at the least."""
+    """Return the keys in groups of at most `MAX_CHUNK_BYTES` (more for one large entry); always at least one group."""
     groups: list[tuple[str, ...]] = []
     group: list[str] = []
     size = 0
--- a/canvasbeam/distribution/messages.py
+++ b/canvasbeam/distribution/messages.py
@@ -1,6 +1,6 @@
-"""The messages that keep the item tables of nodes alike, but for leases and documents, and the action that sends one.
+"""The messages that replicate item tables, except those of leases and documents, and the action of sending a message.
 
-Pure data. `cluster/codec.py` gives each its form on the wire, whose names differ in places.
+Data types only. `cluster/codec.py` defines the wire format of each message; some names on the wire differ.
 """
 
 from __future__ import annotations
@@ -16,59 +16,59 @@
 from canvasbeam.runtime.settings import Address
 from canvasbeam.units import SECOND
 
-NO_CONTACT = 1_000 * SECOND  # stands for the age of a contact that never was
+NO_CONTACT = 1_000 * SECOND  # contact age that represents "never in contact"
 
 Digests = Mapping[ItemKind, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """A child asks to be sent every change from now on."""
+    """The sender requests to become a child of the receiver, to which every later change is pushed."""
 
     digests: Digests
-    requested_at: int | None = None  # by the child's clock; the answer tells it again
+    requested_at: int | None = None  # send time on the child's clock; echoed in the answer
 
 
 @dataclass(frozen=True, slots=True)
 class Keepalive:
-    """The answer to `Subscribe`, repeated at short intervals: how the sender stands."""
+    """The contact, depth and versions of a parent: the answer to `Subscribe`, repeated at short intervals."""
 
-    contact_age: int  # nanoseconds, at the sending, since the sender's contact instant; `NO_CONTACT` before the first
+    contact_age: int  # nanoseconds from the sender's contact instant to the send time; `NO_CONTACT` without contact
     depth: int  # hops to a control node
     digests: Digests = field(default_factory=dict)
-    versions: ControlVersions = field(default_factory=ControlVersions)  # which the sender holds
+    versions: ControlVersions = field(default_factory=ControlVersions)  # control versions stored on the sender
     time: SendTime = field(default_factory=SendTime)
-    newest: int = 0  # the newest configuration that the sender knows of; it may not hold it yet
+    newest: int = 0  # index of the newest configuration known to the sender, stored or not
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """The sender does not serve the receiver as a parent."""
+    """The sender refuses to be the parent of the receiver."""
 
 
 @dataclass(frozen=True, slots=True)
 class Unsubscribe:
-    """The sender is no child of the receiver any more."""
+    """The sender is no longer a child of the receiver."""
 
 
 @dataclass(frozen=True, slots=True)
 class Renew:
-    """A child is still there."""
+    """A child renews its subscription at its parent."""
 
-    requested_at: int | None = None  # by the child's clock, where it wants a keepalive that tells it again
-    received: SendTime | None = None  # the newest keepalive of the receiver that the child has
+    requested_at: int | None = None  # send time on the child's clock, to be echoed in a keepalive; None for no answer
+    received: SendTime | None = None  # send time of the newest keepalive that the child received from the parent
 
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """Items, for the receiver to merge."""
+    """Items that the receiver must merge into its table."""
 
     items: tuple[Item, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class VersionRecord:
-    """Which version of an item a node holds."""
+    """The version of one item on a node."""
 
     key: str
     version: Version
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Versions:
-    """All versions that the sender holds of one kind."""
+    """The versions of all items of one kind in the sender's table."""
 
     kind: ItemKind
     records: tuple[VersionRecord, ...]
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """The sender wants these items where the receiver holds a higher version."""
+    """The sender requests these items, each if the receiver's version is at least the version in the record."""
 
     kind: ItemKind
     records: tuple[VersionRecord, ...]
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Compare:
-    """The sender's digests, for the receiver to compare."""
+    """The digests of the sender's table; the receiver answers for each kind of items whose digest differs."""
 
     digests: Digests
 
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send one message to these addresses."""
+    """The action of sending one message to several addresses."""
 
     addresses: tuple[Address, ...]
     message: Message
--- a/canvasbeam/distribution/node_standing.py
+++ b/canvasbeam/distribution/node_standing.py
@@ -1,6 +1,7 @@
-"""Say how one node stands towards the control nodes: depth in the relay tree, contact, the newest configuration.
+"""The state that one node reports to its children: depth in the relay tree, contact instant, newest configuration.
 
-Keepalives carry it, and it decides whether the node may have children. Owns nothing: it asks the parts that do.
+Keepalives carry this state, and the depth decides whether the node may have children. The module owns no state: every
+value is read from the module that owns it.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class NodeStanding:
-    """One node towards the control nodes. Instants and ages are nanoseconds of its monotonic clock."""
+    """The depth and contact of one node. Instants and ages are nanoseconds of the local monotonic clock."""
 
     def __init__(
         self,
@@ -35,17 +36,17 @@
 
     @property
     def lease(self) -> ContactLease:
-        """The contact lease of a control node; on a data-plane node, one that nobody grants."""
+        """The contact lease of a control node; on a data-plane node, a lease that is never granted."""
         return self._control_peers.renewal.lease
 
     @property
     def contact_instant(self) -> int | None:
-        """The contact instant of this node, by its own lease or through its parents; none before the first."""
+        """The contact instant, from the own lease on a control node, else relayed by parents; None before the first."""
         return self.lease.instant if self._is_control else self._relayed_lease.instant
 
     @property
     def depth(self) -> int:
-        """Hops to a control node; beyond the deepest level while detached."""
+        """Hops to a control node; `max_depth + 1` while detached."""
         if self._is_control:
             return 0
         parent = self._link.parent
@@ -53,18 +54,18 @@
 
     @property
     def newest_configuration(self) -> int:
-        """The index of the newest configuration that is known of, held or not."""
+        """The index of the newest known configuration, stored or not."""
         return self._documents.newest
 
     def contact_age(self, now: int) -> int | None:
-        """Return how many nanoseconds ago the contact instant was; none before the first."""
+        """Return the nanoseconds since the contact instant, or None before the first contact."""
         instant = self.contact_instant
         return None if instant is None else now - instant
 
     def is_parent(self, address: Address) -> bool:
-        """Return whether this address is that of the parent."""
+        """Return True if `address` is the address of the parent."""
         return self._link.is_parent(address)
 
     def note_exchange(self, sent_at: int) -> None:
-        """Note that another node has what was sent then."""
+        """Record that another node acknowledged a message sent at `sent_at`."""
         self.lease.note_exchange(sent_at)
--- a/canvasbeam/distribution/outbox.py
+++ b/canvasbeam/distribution/outbox.py
@@ -1,4 +1,4 @@
-"""The messages that a node has decided to send, in the order of the decisions, until the driver takes them."""
+"""The queue of outgoing messages of one node, which the driver of `Distribution` empties."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 class Outbox:
-    """A list of messages that any part of `Distribution` appends to. Order is never changed."""
+    """The queue to which all modules of `Distribution` append messages. The order is never changed."""
 
     def __init__(self) -> None:
         self._sends: list[Send] = []
 
     def send(self, addresses: Iterable[Address], message: Message) -> None:
-        """Send one message to these addresses."""
+        """Append one message to all of `addresses`."""
         self._sends.append(Send(tuple(addresses), message))
 
     def reply(self, address: Address, messages: Iterable[Message]) -> None:
-        """Send these messages to one address, one after the other."""
+        """Append several messages to one address, in this order."""
         for message in messages:
             self.send((address,), message)
 
     def extend(self, sends: Iterable[Send]) -> None:
-        """Append what a part has decided itself."""
+        """Append send actions that a module has returned."""
         self._sends.extend(sends)
 
     def take(self) -> list[Send]:
-        """Return everything that was appended since the last call."""
+        """Return the send actions appended since the last call, and empty the queue."""
         sends, self._sends = self._sends, []
         return sends
--- a/canvasbeam/distribution/parent_link.py
+++ b/canvasbeam/distribution/parent_link.py
@@ -1,20 +1,22 @@
 """The link of a data-plane node to its parent in the relay tree.
 
-Pure: events and the time in, messages out.
+The module does no I/O: events and the time are its input, messages are its output.
 
 | state | from | to |
 | --- | --- | --- |
-| detached | the start; the parent timed out or refused | attached: a candidate answered |
+| detached | process start; the parent timed out, refused or disconnected | attached: a candidate answered |
 | attached | | attached: a better candidate answered; detached |
 
-The state is whether `parent` is set.
+The node is attached if `parent` is not None.
 
-While detached, candidates are asked one after the other without waiting for the earlier ones, and the first that
-answers is the parent. While attached, a better one is tried now and then, and the old one is kept until that answers.
+While detached, the node sends `Subscribe` to one candidate after another without waiting for earlier answers; the first
+candidate that answers becomes the parent. While attached, the node tries a better candidate at intervals, and keeps the
+parent until a better candidate answers.
 
-How long ago a parent was in contact with the control nodes is counted from when it said so, not from when that arrived:
-a keepalive that waited on the way is as old as it is. A parent whose contact is stale is left for the first candidate
-that is in contact. The link owns the parent, the candidates and whom to avoid; the order of parents is given to it.
+The age of a parent's contact with the control nodes is counted from the send time of the parent's keepalive, not from
+its arrival, because a keepalive can be delayed in transit. A parent with stale contact is replaced by the first
+candidate that is in contact. The link owns the parent, the candidates and the addresses to avoid; the caller provides
+the preference order of parents.
 """
 
 from __future__ import annotations
@@ -34,25 +36,25 @@
 from canvasbeam.leases.peer_clock import PeerClocks, SendTime
 from canvasbeam.runtime.settings import Address
 
-MAX_TIMEOUT_DOUBLINGS = 2
+MAX_TIMEOUT_DOUBLINGS = 2  # maximum number of doublings of the parent's timeout over slow links
 
 ParentOrder = Callable[[], Sequence[Address]]
 
 
 @dataclass(slots=True)
 class Parent:
-    """The parent, as its last keepalive says. Times are nanoseconds of this node's clock, but for the last."""
+    """The parent, as of its newest keepalive. Times except `keepalive_time` are nanoseconds of the local clock."""
 
     address: Address
     since: int
     last_seen_at: int
-    contact_at: int  # its contact instant
-    depth: int
-    keepalive_time: SendTime  # when it sent its newest keepalive, by its own clock
+    contact_at: int  # contact instant of the parent
+    depth: int  # hops from the parent to a control node
+    keepalive_time: SendTime  # send time of the newest keepalive, on the parent's clock
 
 
 class ParentLink:
-    """One node's choice of a parent."""
+    """The parent of one node, and the search for a parent."""
 
     def __init__(
         self,
@@ -64,31 +66,31 @@
         now: int,
     ) -> None:
         self.parent: Parent | None = None
-        self.changes = 0  # of the parent, since the start
+        self.changes = 0  # number of changes of the parent since process start
         self._clocks = PeerClocks(now)
         self._was_stale = True
         self._parameters = parameters
         self._order = order
         self._subscribe = subscribe
         self._random = random.Random(seed)
-        self._candidates: dict[Address, int] = {}  # when each was sent a `Subscribe`
-        self._avoided: dict[Address, int] = {}  # until when
-        self._timeout_doublings = 0  # of the parent's time-out, because links were found to be slow
+        self._candidates: dict[Address, int] = {}  # send time of `Subscribe`, by candidate
+        self._avoided: dict[Address, int] = {}  # time until which each address is avoided
+        self._timeout_doublings = 0  # doublings of the parent's timeout, because late answers indicated slow links
         self._next_attempt_at = now
         self._next_improvement_at = now
         self._next_renewal_at = now
-        self._tick_expected_at = now  # when `tick` should come; where it is much later, the process stalled
+        self._tick_expected_at = now  # expected time of the next `tick`; a much later `tick` means a stall
 
     def contact_age(self, now: int) -> int | None:
-        """Return how many nanoseconds ago the parent's contact instant was; none while detached."""
+        """Return the nanoseconds since the parent's contact instant, or None while detached."""
         return None if self.parent is None else now - self.parent.contact_at
 
     def is_parent(self, address: Address) -> bool:
-        """Return whether this address is the parent's."""
+        """Return True if `address` is the address of the parent."""
         return self.parent is not None and self.parent.address == address
 
     def wake(self) -> int:
-        """Return when `tick` has something to do at the latest."""
+        """Return the time by which `tick` must be called next."""
         times = [requested_at + self._parameters.candidate_timeout_ns for requested_at in self._candidates.values()]
         if self.parent is None:
             times.append(self._next_attempt_at)
@@ -99,12 +101,12 @@
         return min(times)
 
     def on_message(self, now: int, sender: Address) -> None:
-        """Note that something was received: any message of the parent shows that it is there."""
+        """Record a message from `sender`: any message from the parent restarts the parent's timeout."""
         if self.parent is not None and self.parent.address == sender:
             self.parent.last_seen_at = now
 
     def on_keepalive(self, now: int, sender: Address, message: Keepalive) -> list[Send]:
-        """Take the standing of the parent, or the answer of a candidate."""
+        """Handle a keepalive: a status update of the parent, or the answer of a candidate."""
         self._clocks.learn(now, sender, message.time)
         contact_at = self._contact_at(now, sender, message)
         if self.parent is not None and self.parent.address == sender:
@@ -112,7 +114,7 @@
         if sender not in self._candidates:
             return self._on_unexpected_keepalive(now, sender, message, contact_at)
         if contact_at is None:
-            return []  # sent before it was asked
+            return []  # sent before the candidate received the `Subscribe`, so not an answer to it
         del self._candidates[sender]
         if not self._is_better(now, sender, contact_at):
             self._avoid(now, sender)
@@ -131,7 +133,10 @@
     def _on_unexpected_keepalive(
         self, now: int, sender: Address, message: Keepalive, contact_at: int | None
     ) -> list[Send]:
-        """Take the answer of a node that was given up: links are slow. While detached, it is as good as any."""
+        """Handle the answer of a candidate after its timeout; while detached, any candidate becomes the parent.
+
+        A late answer shows that links are slow, so attaching to the candidate also doubles the parent's timeout.
+        """
         if self.parent is not None and (contact_at is None or not self._is_better(now, sender, contact_at)):
             return [Send((sender,), Unsubscribe())]
         if contact_at is None:
@@ -140,25 +145,25 @@
         return [*self._attach(now, sender, message, contact_at), Send((sender,), Renew())]
 
     def _contact_at(self, now: int, sender: Address, message: Keepalive) -> int | None:
-        """Return the sender's contact instant by our clock, or an earlier time; none where its clock is not known."""
+        """Return the sender's earliest possible contact instant on the local clock; None if the offset is unknown."""
         sent_at = self._clocks.sent_at(now, sender, message.time)
         return None if sent_at is None else sent_at - message.contact_age
 
     def on_refuse(self, now: int, sender: Address) -> None:
-        """Take the refusal of a candidate, or of the parent."""
+        """Handle the refusal of a candidate or of the parent."""
         self._candidates.pop(sender, None)
         self._avoid(now, sender)
         if self.is_parent(sender):
             self._detach(now)
 
     def on_disconnected(self, now: int, address: Address) -> None:
-        """Give up a candidate or the parent, whose connection failed, without waiting for the time-out."""
+        """Drop a candidate or the parent without waiting for the timeout, because its connection failed."""
         if address in self._candidates or self.is_parent(address):
             self.on_refuse(now, address)
             self._next_attempt_at = now
 
     def tick(self, now: int) -> list[Send]:
-        """Do what is due."""
+        """Run all timers that are due; return the messages to send."""
         if now - self._tick_expected_at >= self._parameters.process_stall_ns:
             self._on_stall(now)
         actions = self._run_timers(now)
@@ -179,13 +184,13 @@
         return self._improve(now) + self._renew(now)
 
     def _on_stall(self, now: int) -> None:
-        """Give the parent and the candidates more time after a stall: what came meanwhile is still to be read."""
+        """Extend the timeouts of parent and candidates after a stall: messages received meanwhile are still unread."""
         if self.parent is not None:
             self.parent.last_seen_at = max(self.parent.last_seen_at, now - self._parameters.peer_timeout_ns // 2)
         self._candidates = dict.fromkeys(self._candidates, now)
 
     def _attach(self, now: int, address: Address, message: Keepalive, contact_at: int) -> list[Send]:
-        """Enter `attached`, or change the parent; the one place that does."""
+        """Enter state `attached` or change the parent; no other method does either."""
         left = [*self._candidates, *([self.parent.address] if self.parent else [])]
         self._candidates.clear()
         self._clocks.retain_only(address)
@@ -197,12 +202,12 @@
         return [Send(tuple(left), Unsubscribe())] if left else []
 
     def _detach(self, now: int) -> None:
-        """Enter `detached`; the one place that does."""
+        """Enter state `detached`; no other method enters this state."""
         self.parent = None
         self._next_attempt_at = now
 
     def _is_better(self, now: int, sender: Address, contact_at: int) -> bool:
-        """Return whether a candidate is better than the parent: by contact with the control nodes, then by order."""
+        """Return True if a candidate is better than the parent: by contact first, then by the preference order."""
         age = self.contact_age(now)
         if age is None:
             return True
@@ -248,7 +253,7 @@
         return self._attempt_avoided(now, self.parent) if is_stale else []
 
     def _attempt_avoided(self, now: int, parent: Parent) -> list[Send]:
-        """Try the node that was avoided first: the parent is stale, and all others were given up before."""
+        """Subscribe to the node whose avoidance ends first; used if the parent is stale and all others are avoided."""
         others = [other for other in self._order() if other != parent.address and other not in self._candidates]
         return self._subscribe_to(now, min(others, key=lambda other: self._avoided[other])) if others else []
 
--- a/canvasbeam/distribution/push_receivers.py
+++ b/canvasbeam/distribution/push_receivers.py
@@ -1,4 +1,4 @@
-"""Say to whom one node pushes changes: its neighbours in the relay tree, and on a control node the other ones."""
+"""The receivers of pushes: the neighbours in the relay tree and, on a control node, the other control nodes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PushReceivers:
-    """The nodes next to one node."""
+    """The nodes to which one node pushes changes."""
 
     def __init__(
         self, link: ParentLink, children: RelayChildren, control_peers: ControlPeers, *, is_control: bool
@@ -22,14 +22,14 @@
         self._is_control = is_control
 
     def tree_neighbours(self) -> list[Address]:
-        """Return the children and the parent."""
+        """Return the addresses of the children and of the parent, if there is one."""
         parent = self._link.parent
         return [*self._children.children, *([parent.address] if parent else [])]
 
     def responsive_mesh(self, now: int) -> tuple[Address, ...]:
-        """Return the other control nodes that respond; none for a data-plane node."""
+        """Return the responsive other control nodes; empty on a data-plane node."""
         return self._control_peers.mesh.responsive(now) if self._is_control else ()
 
     def mesh_addresses(self) -> Iterable[Address]:
-        """Return all other control nodes; none for a data-plane node."""
+        """Return all other control nodes; empty on a data-plane node."""
         return self._control_peers.mesh.addresses()
--- a/canvasbeam/distribution/pushes.py
+++ b/canvasbeam/distribution/pushes.py
@@ -1,7 +1,7 @@
 """Pushes of changed items to the neighbours in the relay tree and, between control nodes, over the mesh.
 
-Pure: changes and the time in, messages to the outbox. Owns the changes that wait for the next push. A change is never
-sent back to the node that it came from.
+The module does no I/O: changes and the time are its input, messages in the outbox are its output. It owns the changes
+pending for the next push. A change is never sent back to the node that sent it.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An item that was taken into the table, and the node that sent it; none for one of our own."""
+    """An item that was merged into the table, and the node that sent the item; None for an item of this node."""
 
     item: Item
     source: Address | None
 
 
 class Pushes:
-    """The changes of one node on their way to others."""
+    """The pending changes of one node, and their pushes to other nodes."""
 
     def __init__(
         self, table: ItemTable, parameters: DistributionParameters, outbox: Outbox, receivers: PushReceivers, now: int
@@ -41,11 +41,11 @@
         self._flushed_at = now - parameters.push_interval_ns
 
     def merge(self, now: int, items: Iterable[Item], source: Address | None) -> list[Item]:
-        """Merge items into the table and push on what was new, which is returned."""
+        """Merge items from `source` into the table, and push the new ones; return the new items."""
         taken = self._table.merge(items)
         for item in taken:
             if self._table.get(item.kind, item.key) is not item:
-                continue  # a listener has published a newer one in the meantime
+                continue  # a listener has published a newer version of the item during the merge
             self._pending[item.name] = Change(item, source)
             if item.deleted:
                 self._tombstones.note(now, item)
@@ -55,25 +55,28 @@
     # --- time -------------------------------------------------------------------------------------
 
     def wake(self) -> int | None:
-        """Return when the next push is due; none where nothing waits."""
+        """Return the time at which the next push is due, or None if no change is pending."""
         return self._flushed_at + self._parameters.push_interval_ns if self._pending else None
 
     def flush_due(self, now: int) -> None:
-        """Push all changes, if any wait and the last push was long enough ago."""
+        """Push all pending changes, if any, unless the last push was less than `push_interval_ns` ago."""
         if self._pending and now >= self._flushed_at + self._parameters.push_interval_ns:
             self.flush(now)
 
     def flush_pending(self, now: int) -> None:
-        """Push all changes now, if any wait."""
+        """Push all pending changes now, if any."""
         if self._pending:
             self.flush(now)
 
     def forget_tombstones(self, now: int) -> None:
-        """Forget the tombstones that are due."""
+        """Remove expired tombstones from the table."""
         self._tombstones.forget_due(now)
 
     def flush(self, now: int) -> None:
-        """Push all changes now. What a control node sent is not passed on to others, which have it from there too."""
+        """Push all changes now.
+
+        Changes sent by a control node are not pushed to other control nodes, which receive the changes from the sender.
+        """
         self._flushed_at = now
         changes, self._pending = tuple(self._pending.values()), {}
         mesh = self._receivers.responsive_mesh(now)
@@ -86,9 +89,9 @@
     def _push(
         self, receivers: Sequence[Address], changes: Sequence[Change], all_changes: Sequence[Change] | None = None
     ) -> None:
-        """Send one message to all receivers that are the source of no change, and its own to each that is.
+        """Send the same messages to all receivers that sent none of the changes, and separate messages to the others.
 
-        `all_changes` are those whose sources are looked at, where that is more than what is sent.
+        `all_changes` are the changes whose sources are considered, if there are more of them than `changes` to send.
         """
         sources = {change.source for change in (changes if all_changes is None else all_changes)}
         common = [receiver for receiver in receivers if receiver not in sources]
--- a/canvasbeam/distribution/reconciliation.py
+++ b/canvasbeam/distribution/reconciliation.py
@@ -1,6 +1,6 @@
-"""Reconciliation of two item tables: digests first, versions of the kinds that differ, then only what is newer.
+"""Reconciliation of two item tables: compare digests, then versions of the kinds that differ, then send newer items.
 
-Pure: each function answers one message with the messages that go back.
+The module does no I/O and has no state: each function returns the messages that answer one message.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 
 
 def digests(table: ItemTable) -> Digests:
-    """Return the digests of all kinds that are held."""
+    """Return the digests of all kinds of items in the table; kinds with digest 0 are left out."""
     found = {kind: table.digest(kind) for kind in ItemKind}
     return {kind: digest for kind, digest in found.items() if digest}
 
 
 def answer_digests(table: ItemTable, theirs: Digests, update_bytes: int) -> Iterator[Message]:
-    """Yield the answer to a node with these digests: everything where it holds nothing, else our versions.
+    """Yield, for each kind whose digest differs from `theirs`, all items if the other node has none, else the versions.
 
-    A document is announced in either case: the node asks for what it lacks of it.
+    A document is announced in both cases; the receiver then requests the parts that it lacks.
     """
     for kind in ItemKind:
         mine, other = table.digest(kind), theirs.get(kind, 0)
@@ -44,9 +44,10 @@
 
 
 def answer_versions(table: ItemTable, message: Versions, update_bytes: int) -> Iterator[Message]:
-    """Yield the answer to a node that holds these versions: what is newer here, and a request for what is newer there.
+    """Yield the items that are newer in the local table, and a request for the items that are newer at the sender.
 
-    A tombstone is not sent to a node that lacks the item, nor wanted by one: it would come round for ever.
+    A tombstone is neither sent to a node that lacks the item nor requested by such a node: nodes forget tombstones at
+    different times, so they would pass the tombstone round for ever.
     """
     theirs = {record.key: record for record in message.records}
     newer = []
@@ -61,7 +62,7 @@
 
 
 def answer_request(table: ItemTable, message: Request, update_bytes: int) -> Iterator[Message]:
-    """Yield the items that are as new as asked for, or newer."""
+    """Yield the requested items whose local version is at least the requested version."""
     found = (table.get(message.kind, record.key) for record in message.records)
     pairs = zip(message.records, found, strict=True)
     items = [item for record, item in pairs if item is not None and item.version >= record.version]
@@ -69,7 +70,7 @@
 
 
 def request_newer(table: ItemTable, versions: ControlVersions) -> Iterator[Request]:
-    """Yield requests for the configuration and the evacuations where these versions are newer than what is held."""
+    """Yield requests for the configuration and the evacuations, each only if newer in `versions` than stored."""
     own_versions = ControlVersions.of(table)
     if versions.configuration > own_versions.configuration:
         yield _request_current(ItemKind.CONFIGURATION, versions.configuration)
@@ -78,12 +79,12 @@
 
 
 def compare(table: ItemTable) -> Compare:
-    """Return the message that has a node compare its table with ours."""
+    """Return the message that makes a node compare its table with this table."""
     return Compare(digests(table))
 
 
 def updates(items: Iterable[Item], update_bytes: int) -> Iterator[Update | Announce]:
-    """Yield items in messages of about this size at the most; documents are announced."""
+    """Yield items in messages of about `update_bytes` at most, and an announcement for each document."""
     batch: list[Item] = []
     size = 0
     for item in items:
--- a/canvasbeam/distribution/relay_children.py
+++ b/canvasbeam/distribution/relay_children.py
@@ -1,7 +1,8 @@
-"""The children of this node in the relay tree: who they are, and the keepalives that they are sent.
+"""The children of this node in the relay tree, and the keepalives sent to children.
 
-Pure: events and the time in, messages to the outbox. Owns the children and the schedule of keepalives. What a
-keepalive says of this node is asked of `NodeStanding`; the changes of items go through `pushes.py`.
+The module does no I/O: events and the time are its input, messages in the outbox are its output. It owns the children
+and the schedule of keepalives. `NodeStanding` provides the contact and depth in a keepalive; `pushes.py` sends changed
+items.
 """
 
 from __future__ import annotations
@@ -29,13 +30,13 @@
 
 @dataclass(slots=True)
 class Child:
-    """A node that is sent every change."""
+    """A node to which every change is sent."""
 
-    last_seen_at: int
+    last_seen_at: int  # arrival time of the child's newest message, in nanoseconds
 
 
 class RelayChildren:
-    """The children of one node."""
+    """The children of one node, and the schedule of keepalives to children."""
 
     def __init__(
         self,
@@ -52,7 +53,7 @@
         self._parameters = parameters
         self._outbox = outbox
         self._standing = standing
-        self._incarnation = incarnation  # tells the children whose clock the times are of
+        self._incarnation = incarnation  # identifies the clock of the send times in keepalives
         self._next_keepalive_at = now
         self._keepalive_sent_at = now - parameters.keepalive_interval_ns
         self._next_compare_at = now + parameters.compare_interval_ns
@@ -63,7 +64,7 @@
     # --- events -----------------------------------------------------------------------------------
 
     def on_subscribe(self, now: int, sender: Address, message: Subscribe) -> None:
-        """Take a child, or refuse it where the tree would get a ring, too deep or too broad."""
+        """Add a child; refuse a subscriber that would cause a cycle, exceed `max_depth` or exceed `max_children`."""
         is_too_deep = self._standing.depth >= self._parameters.max_depth
         if self._standing.is_parent(sender) or is_too_deep or self._is_full(sender):
             self._outbox.send((sender,), Refuse())
@@ -76,7 +77,7 @@
         self._outbox.reply(sender, answers)
 
     def on_renew(self, now: int, sender: Address, message: Renew) -> None:
-        """Note that a child is still there, and answer where it asks for the time; refuse who is no child."""
+        """Handle a `Renew`: answer with a keepalive if requested; refuse a sender that is not a child."""
         if sender not in self.children:
             self._outbox.send((sender,), Refuse())
             return
@@ -87,16 +88,16 @@
             self._outbox.send((sender,), self._keepalive(now, requested_at=message.requested_at))
 
     def on_unsubscribe(self, now: int, sender: Address, message: Unsubscribe) -> None:
-        """Let a child go."""
+        """Remove a child that unsubscribes."""
         self.remove(sender)
 
     def note_seen(self, now: int, sender: Address) -> None:
-        """Note that something was received from a node, which may be a child."""
+        """Record a message from `sender`, if it is a child."""
         if sender in self.children:
             self.children[sender].last_seen_at = now
 
     def remove(self, address: Address) -> None:
-        """Forget a child, if it is one."""
+        """Remove `address` from the children, if present."""
         self.children.pop(address, None)
 
     def send(self, message: Message) -> None:
@@ -107,16 +108,19 @@
     # --- keepalives -------------------------------------------------------------------------------
 
     def wake(self) -> int:
-        """Return when the next keepalive is due."""
+        """Return the time at which the next keepalive is due."""
         return self._next_keepalive_at
 
     def hasten_keepalive(self, now: int) -> None:
-        """Tell the children soon that the contact instant moved, not much more often than at the usual interval."""
+        """Bring the next keepalive forward, because the contact instant advanced.
+
+        At least 3/5 of the usual interval passes between two keepalives, so that they are sent little more often.
+        """
         earliest = self._keepalive_sent_at + self._parameters.keepalive_interval_ns * 3 // 5
         self._next_keepalive_at = min(self._next_keepalive_at, max(now, earliest))
 
     def begin_keepalives(self, now: int) -> bool:
-        """Schedule the next keepalives and drop unresponsive children; return whether any are left to be sent one."""
+        """Schedule the next keepalives and remove unresponsive children; return True if any children remain."""
         self._next_keepalive_at = now + self._parameters.idle_keepalive_interval_ns
         self._keepalive_sent_at = now
         for address, child in tuple(self.children.items()):
@@ -125,7 +129,7 @@
         return bool(self.children)
 
     def send_keepalives(self, now: int) -> None:
-        """Send a keepalive to all children, now and then with the digests of the table."""
+        """Send a keepalive to all children, once per `compare_interval_ns` with the digests of the table."""
         is_comparing = now >= self._next_compare_at
         if is_comparing:
             self._next_compare_at = now + self._parameters.compare_interval_ns
--- a/canvasbeam/distribution/relay_tree.py
+++ b/canvasbeam/distribution/relay_tree.py
@@ -1,9 +1,10 @@
-"""The relay tree: which parents a node may have, in the order that it tries them.
+"""The relay tree: the possible parents of a node, in order of preference.
 
-Control nodes are the roots. In a region with more than `FANOUT` data-plane nodes some of each zone are relays, drawn by
-rendezvous hashing (Thaler, Ravishankar, "Using name-based mappings to increase hit rates", 1998): relays attach to
-control nodes, the others to relays of their region. In a smaller region all attach to control nodes. Every node works
-this out alone, from the members that it knows: a wrong guess costs a longer way only.
+Control nodes are the roots. In a region with more than `FANOUT` data-plane nodes, some nodes of each zone are relays,
+selected by rendezvous hashing (Thaler, Ravishankar, "Using name-based mappings to increase hit rates", 1998). Relays
+attach to control nodes, and the other data-plane nodes attach to relays of their region. In a smaller region all
+data-plane nodes attach to control nodes. Every node computes the order locally from the members it knows; outdated
+knowledge only makes the path to a control node longer.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 from canvasbeam.failure_detection.rendezvous import weight
 from canvasbeam.runtime.settings import Address
 
-FANOUT = 8  # data-plane nodes for each relay
+FANOUT = 8  # data-plane nodes per relay
 
 
 def relays_of(region: str, places: Iterable[NodeLocation]) -> list[NodeLocation]:
-    """Return the relays of a region: one for each `FANOUT` nodes of a zone; none where the region is small."""
+    """Return the relays of a region: one per `FANOUT` nodes of a zone; none for a region of at most `FANOUT` nodes."""
     zones: dict[str, list[NodeLocation]] = {}
     for place in places:
         if place.region == region and not place.is_control:
@@ -34,7 +35,7 @@
 
 
 def parent_order(me: NodeLocation, places: Sequence[NodeLocation], seeds: Sequence[Address]) -> tuple[Address, ...]:
-    """Return the addresses of possible parents, the best first; seeds that no member is known to own come last."""
+    """Return the addresses of possible parents, best first; seeds that are not addresses of known members come last."""
     controls = _nearest(me, (place for place in places if place.is_control))
     relays = relays_of(me.region, places)
     others = _nearest(me, (relay for relay in relays if relay.key != me.key))
@@ -45,23 +46,23 @@
 
 
 def likely_nearest(me: Address, seeds: Iterable[Address]) -> list[Address]:
-    """Return the seeds, those first whose address begins like ours: no more is known before members are."""
+    """Return the seeds, longest common address prefix with `me` first, for use while no node locations are known."""
     return sorted(seeds, key=lambda seed: -_shared_parts(me.host, seed.host))
 
 
 def _heaviest(zone: str, places: Iterable[NodeLocation], count: int) -> list[NodeLocation]:
-    """Return so many nodes of a zone by rendezvous hashing."""
+    """Return the `count` nodes of a zone with the highest weights by rendezvous hashing."""
     return sorted(places, key=lambda place: weight(zone, place.key), reverse=True)[:count]
 
 
 def _shared_parts(first: str, second: str) -> int:
-    """Return how many parts of two IP addresses are the same from the left."""
+    """Return the number of leading dot-separated parts that two IP addresses have in common."""
     pairs = zip(first.split("."), second.split("."), strict=False)
     return len(list(takewhile(lambda pair: pair[0] == pair[1], pairs)))
 
 
 def _nearest(me: NodeLocation, places: Iterable[NodeLocation]) -> list[NodeLocation]:
-    """Return those of the same zone first, then those of the same region; among equals by rendezvous hashing."""
+    """Return nodes of the same zone first, then of the same region; order equals by rendezvous hashing."""
 
     def distance(place: NodeLocation) -> tuple[bool, bool, int]:
         return place.zone != me.zone, place.region != me.region, -weight(me.key, place.key)
--- a/canvasbeam/distribution/scrub.py
+++ b/canvasbeam/distribution/scrub.py
@@ -1,9 +1,9 @@
-"""Comparisons of this node's table with those of others: answers to theirs, and questions of its own.
+"""Comparisons of this node's item table with the tables of other nodes, and the answers to comparisons of other nodes.
 
-Pure: messages and the time in, messages to the outbox. What is compared and answered is decided in `reconciliation.py`;
-this part owns when a data-plane node compares itself with a control node that is not its parent, so that an error of
-all its parents lasts for seconds only (anti-entropy: Demers et al., "Epidemic algorithms for replicated database
-maintenance", 1987).
+The module does no I/O: messages and the time are its input, messages in the outbox are its output. `reconciliation.py`
+computes the answers. This module owns the schedule by which a data-plane node compares its table with a control node
+that is not its parent, so that an error of all its parents lasts only seconds (anti-entropy: Demers et al., "Epidemic
+algorithms for replicated database maintenance", 1987).
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class Scrub:
-    """The comparisons of one node's table."""
+    """The anti-entropy of one node's item table."""
 
     def __init__(
         self,
@@ -53,29 +53,29 @@
     # --- answers ----------------------------------------------------------------------------------
 
     def on_versions(self, now: int, sender: Address, message: Versions) -> None:
-        """Send what is newer here, and ask for what is newer there."""
+        """Send the items that are newer in the local table, and request the items that are newer at the sender."""
         self._outbox.reply(sender, reconciliation.answer_versions(self._table, message, self._max_update_bytes))
 
     def on_request(self, now: int, sender: Address, message: Request) -> None:
-        """Send the items that are as new as asked for."""
+        """Send the requested items whose local version is at least the requested version."""
         self._outbox.reply(sender, reconciliation.answer_request(self._table, message, self._max_update_bytes))
 
     def on_compare(self, now: int, sender: Address, message: Compare) -> None:
-        """Compare a table with this one."""
+        """Answer a `Compare` message, which contains the digests of the sender's table."""
         self.answer_digests(sender, message.digests)
 
     def answer_digests(self, sender: Address, digests: Digests) -> None:
-        """Answer the digests of another table."""
+        """Compare the digests of the sender's table with the local table, and send the answer."""
         self._outbox.reply(sender, reconciliation.answer_digests(self._table, digests, self._max_update_bytes))
 
-    # --- questions --------------------------------------------------------------------------------
+    # --- requests ---------------------------------------------------------------------------------
 
     def request_newer(self, address: Address, versions: ControlVersions) -> None:
-        """Ask a node for the configuration and the evacuations where it holds newer ones."""
+        """Request the configuration and the evacuations from a node, each only if newer in `versions` than stored."""
         self._outbox.reply(address, reconciliation.request_newer(self._table, versions))
 
     def refresh(self, kind: ItemKind, key: str) -> None:
-        """Ask the parent and a control node for a newer version of an item than the one held (read repair)."""
+        """Request a version newer than the stored one from the parent and from a control node (read repair)."""
         stored = self._table.get(kind, key)
         version = Version(stored.version.major, stored.version.minor + 1) if stored else Version(0)
         receivers = [self._link.parent.address] if self._link.parent else []
@@ -86,7 +86,7 @@
             self._outbox.send(receivers, Request(kind, (VersionRecord(key, version),)))
 
     def compare_with_control_node(self, now: int) -> None:
-        """Compare tables with a control node that is not the parent, where that is due."""
+        """Send the table's digests to a random control node that is not the parent, if the comparison is due."""
         if now < self._next_control_compare_at:
             return
         self._next_control_compare_at = now + round(
--- a/canvasbeam/distribution/tombstones.py
+++ b/canvasbeam/distribution/tombstones.py
@@ -1,6 +1,6 @@
-"""When the tombstones of deleted items are forgotten: late enough that no node can bring the item back.
+"""The expiry of tombstones of deleted items: late enough that no node can restore the item.
 
-Pure. Owns the times alone; the tombstones are in the item table.
+The module does no I/O. It owns only the expiry times; the tombstones are in the item table.
 """
 
 from __future__ import annotations
@@ -9,17 +9,17 @@
 
 from canvasbeam.item_table.items import Item, ItemName, ItemTable, Version
 
-MAX_FORGOTTEN_AT_ONCE = 64  # of one call, so that none takes long
+MAX_FORGOTTEN_AT_ONCE = 64  # tombstones examined per call, to bound the duration of a call
 
 
 @dataclass(frozen=True, slots=True)
 class _Tombstone:
     version: Version
-    until: int  # nanoseconds
+    until: int  # expiry time, nanoseconds
 
 
 class Tombstones:
-    """The tombstones that this node took, in the order in which they are due."""
+    """The expiry times of the tombstones that this node has merged, in order of expiry."""
 
     def __init__(self, table: ItemTable, keep_ns: int) -> None:
         self._table = table
@@ -27,11 +27,11 @@
         self._tombstones: dict[ItemName, _Tombstone] = {}
 
     def note(self, now: int, item: Item) -> None:
-        """Note that a tombstone was taken into the table."""
+        """Record a tombstone that was merged into the table."""
         self._tombstones[item.name] = _Tombstone(item.version, now + self._keep_ns)
 
     def forget_due(self, now: int) -> None:
-        """Forget the tombstones that are due, unless another version took their place."""
+        """Remove expired tombstones from the table, except those that another version has replaced."""
         for name, tombstone in tuple(self._tombstones.items())[:MAX_FORGOTTEN_AT_ONCE]:
             if tombstone.until > now:
                 return
--- a/canvasbeam/distribution/topology.py
+++ b/canvasbeam/distribution/topology.py
@@ -1,7 +1,7 @@
-"""Who may be this node's parent, and which control nodes there are, from the members and the seeds that are known.
+"""The possible parents of this node and the known control nodes, derived from the members and the seeds.
 
-Pure. Owns the list of members, the seeds, and the order of parents that follows from both. It must never
-decide who is alive: the members are given to it.
+The module does no I/O. It owns the list of members, the seeds, and the resulting preference order of parents. It must
+never decide whether a node is alive: the caller provides the current members.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 
 
 class Topology:
-    """The members and the seeds, as one node knows them."""
+    """The members and the seeds known to one node."""
 
     def __init__(self, me: NodeLocation, seeds: Iterable[Address], generator: random.Random) -> None:
         self.seeds: tuple[Address, ...] = ()
         self._me = me
         self._random = generator
         self._locations: tuple[NodeLocation, ...] = ()
-        self._parent_order: tuple[Address, ...] | None = None  # worked out when it is asked for
+        self._parent_order: tuple[Address, ...] | None = None  # cached; None after a change of members or seeds
         self.set_seeds(seeds)
 
     def set_locations(self, locations: Sequence[NodeLocation]) -> None:
-        """Take the present members."""
+        """Set the locations of the current members."""
         self._locations = tuple(locations)
         self._parent_order = None
 
     def set_seeds(self, seeds: Iterable[Address]) -> None:
-        """Take the seeds that the settings name."""
+        """Set the seed addresses from the settings, without the address of this node."""
         self.seeds = tuple(seed for seed in seeds if seed != self._me.address)
         self._parent_order = None
 
     def parent_order(self) -> tuple[Address, ...]:
-        """Return the addresses of possible parents, the best first; seeds of equal likelihood in a drawn order."""
+        """Return the addresses of possible parents, best first; seeds of equal preference are in random order."""
         if self._parent_order is None:
             drawn = sorted(self.seeds, key=lambda seed: self._random.random())
             self._parent_order = parent_order(self._me, self._locations, likely_nearest(self._me.address, drawn))
@@ -47,6 +47,6 @@
         return [node.address for node in self._locations if node.is_control and node.address != self._me.address]
 
     def draw_control_node(self) -> Address | None:
-        """Return the address of a control node, drawn anew each time; none where no other is known."""
+        """Return the address of a random other control node, or None if no other is known."""
         addresses = self.control_addresses()
         return self._random.choice(addresses) if addresses else None
--- a/canvasbeam/item_table/__init__.py
+++ b/canvasbeam/item_table/__init__.py
@@ -1,8 +1,8 @@
-"""The replicated table of items that every node holds, and large values that are kept as documents.
+"""The replicated item table that every node stores, and documents for large values.
 
-Merging is commutative and idempotent, and a version never goes back. The package knows nothing of nodes or sockets: who
-sends items to whom is for `distribution`.
+Merging is commutative and idempotent, and the version of an item never decreases. The package does not depend on nodes
+or sockets: the package `distribution` sends items between nodes.
 
-Start reading at `items.py` (the table); `document.py` is a value of many entries with a digest that follows from what
-changed, and `configuration_document.py` makes one of a configuration.
+Start reading at `items.py` (the table). `document.py` defines a value of many entries with an incrementally updated
+digest, and `configuration_document.py` converts a configuration into a document.
 """
--- a/canvasbeam/item_table/configuration_document.py
+++ b/canvasbeam/item_table/configuration_document.py
@@ -1,7 +1,7 @@
-"""A configuration as a document: one entry for each item with a name, and one for all the rest.
+"""The conversion of a configuration to a document: one entry per named item, and one header entry for all other fields.
 
-Routes go by their host and prefix, no two of which are the same in a valid configuration: the entry of a route is
-found without reading any other. Both programs use these keys.
+The key of a route contains its host and prefix, whose combination is unique in a valid configuration, so the entry of a
+route is found without reading other entries. Both programs use these keys.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from canvasbeam.item_table.document import Document
 
-JsonObject = Mapping[str, Any]  # any JSON: the schema of configurations is checked before
+JsonObject = Mapping[str, Any]  # any JSON object; the configuration schema is validated earlier
 
 HEADER_KEY = ""
 ROUTES = "routes"
@@ -22,7 +22,7 @@
 
 
 def document_of(configuration: JsonObject, before: Document | None = None) -> Document:
-    """Return the document of a configuration; entries that are the same in an earlier one are shared with it."""
+    """Return the document of a configuration; share the entries that are equal in the earlier document `before`."""
     entries = dict(_entries(configuration))
     if before is None:
         return Document.of(entries)
@@ -32,12 +32,12 @@
 
 
 def route_key(host: str, prefix: str) -> str:
-    """Return the key of a route's entry."""
+    """Return the key of the entry of the route with this host and prefix."""
     return _SEPARATOR.join((ROUTES, host, prefix))
 
 
 def read_entry(document: Document, key: str) -> JsonObject | None:
-    """Return the item under a key, none where there is none; raise `ValueError` where it is not JSON."""
+    """Return the item under `key`, or None if the key is absent; raise `ValueError` if the entry is not JSON."""
     value = document.entries.get(key)
     if value is None:
         return None
@@ -46,12 +46,12 @@
 
 
 def keys_of(document: Document, field: str) -> Iterator[str]:
-    """Yield the keys of all items of a field, in the order of the configuration where it came complete."""
+    """Yield the keys of all items of a field; in configuration order if the document was received complete."""
     return (key for key in document.entries if is_of_field(key, field))
 
 
 def is_of_field(key: str, field: str) -> bool:
-    """Return whether a key is that of an item of this field."""
+    """Return True if `key` is the key of an item of the configuration field `field`."""
     return key.startswith(field + _SEPARATOR)
 
 
@@ -66,7 +66,7 @@
     yield HEADER_KEY, _encode(header).encode("ascii")
 
 
-def _is_named_list(value: object) -> bool:  # any JSON
+def _is_named_list(value: object) -> bool:  # any JSON value
     return isinstance(value, list | tuple) and all(isinstance(item, dict) and "name" in item for item in value)
 
 
--- a/canvasbeam/item_table/document.py
+++ b/canvasbeam/item_table/document.py
@@ -1,7 +1,7 @@
-"""A large value of the item table that is kept, compared and sent by its entries: a configuration.
+"""Documents: large values of the item table that are stored, compared and sent entry by entry, such as configurations.
 
-A document is immutable. Its digest is the sum of its entries' digests, so that the digest of a changed document follows
-from the entries that changed; two documents with the same digest hold the same entries.
+A document is immutable. Its digest is the sum of the digests of its entries, so the digest of a changed document is
+computed from the changed entries alone. Two documents with the same digest contain the same entries.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentDelta:
-    """What leads from one document to another: the entries to put in, and the keys to take out."""
+    """The difference between two documents: the entries to add or replace, and the keys to remove."""
 
     changed: Mapping[str, bytes]
     removed: tuple[str, ...] = ()
@@ -24,18 +24,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """Entries by key, and the digest of them all. Made by `of` and `apply` alone."""
+    """Entries by key, and the digest of all entries. Create documents only by `of` and `apply`."""
 
     entries: Mapping[str, bytes] = field(default_factory=dict)
     digest: int = 0
 
     @classmethod
     def of(cls, entries: Mapping[str, bytes]) -> Document:
-        """Return the document with these entries."""
+        """Return a document with `entries`; compute its digest."""
         return cls(entries, sum_of_digests(entries.items()))
 
     def apply(self, delta: DocumentDelta) -> Document:
-        """Return the document that a delta leads to; entries that do not change are shared with this one."""
+        """Return the document that results from a delta; unchanged entries are shared with this document."""
         entries = dict(self.entries)
         gone = [(key, entries.pop(key)) for key in (*delta.removed, *delta.changed) if key in entries]
         entries.update(delta.changed)
@@ -43,7 +43,7 @@
         return Document(entries, digest % _DIGEST_RANGE)
 
     def changed_keys(self, before: Document) -> frozenset[str]:
-        """Return the keys whose entries are not the same in an earlier document, or stand in one of the two alone."""
+        """Return the keys whose entries differ from those of the document `before`, or exist in only one of the two."""
         old, new = before.entries, self.entries
         changed = {key for key, value in new.items() if old.get(key) != value}
         if len(old) + len(changed) != len(new):
@@ -51,14 +51,14 @@
         return frozenset(changed)
 
     def delta_of(self, keys: Iterable[str]) -> DocumentDelta:
-        """Return the delta to this document from one that differs from it in no other keys than these."""
+        """Return the delta to this document from a document that differs from it at most in `keys`."""
         wanted = tuple(keys)
         changed = {key: self.entries[key] for key in wanted if key in self.entries}
         return DocumentDelta(changed, tuple(key for key in wanted if key not in changed))
 
 
 def sum_of_digests(entries: Iterable[tuple[str, bytes]]) -> int:
-    """Return the sum that these entries add to a document's digest."""
+    """Return the contribution of `entries` to the digest of a document, modulo the digest range."""
     total = 0
     for key, value in entries:
         name = key.encode()
--- a/canvasbeam/item_table/items.py
+++ b/canvasbeam/item_table/items.py
@@ -1,7 +1,7 @@
-"""The replicated table of items that every node holds: one value a key, and the highest version stands.
+"""The replicated item table that every node stores: one value per key, and the highest version wins.
 
-An item is passed on by anyone and may come in any order, any number of times: merging is commutative and idempotent,
-and in one incarnation of a process an item never goes back to a lower version.
+Any node may forward an item, and items may arrive in any order and any number of times: merging is commutative and
+idempotent. During one incarnation of a process the version of an item never decreases.
 """
 
 from __future__ import annotations
@@ -17,29 +17,29 @@
 
 
 class ItemKind(IntEnum):
-    """What an item describes. The numbers are those of the wire."""
+    """The kind of object that an item describes. The values are sent on the wire."""
 
-    CONFIGURATION = 1  # key "current"; the version's major part is the index of the control state
-    EVACUATIONS = 2  # key "current"; likewise
-    WORKER = 3  # key: the worker's id; major: the sequence number of its heartbeat
-    MEMBER = 4  # key: the node's name; major: its incarnation
-    BUDGET = 5  # key: the name of a shared budget
+    CONFIGURATION = 1  # key "current"; the major version is the index of the control state
+    EVACUATIONS = 2  # key "current"; the major version is the index of the control state
+    WORKER = 3  # key: worker id; the major version is the sequence number of the worker's heartbeat
+    MEMBER = 4  # key: node name; the major version is the incarnation of the node
+    BUDGET = 5  # key: name of a shared budget
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Version:
-    """Versions of one key are compared in this order."""
+    """The version of an item: `major` is compared first, then `minor`."""
 
     major: int
     minor: int = 0
 
 
-ItemName = tuple[ItemKind, str]  # kind and key; a plain tuple, because each change hashes some
+ItemName = tuple[ItemKind, str]  # kind and key; a plain tuple hashes fast, and each change hashes several
 
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """One versioned value: a payload or, where it is large and changes in parts, a document.
+    """One versioned value: a payload or, if the value is large and changes in parts, a document.
 
     `deleted` marks a tombstone, whose payload is empty.
     """
@@ -53,15 +53,15 @@
 
     @property
     def name(self) -> ItemName:
-        """What makes an item the same one in another version."""
+        """The identity of the item, which is the same in all its versions."""
         return self.kind, self.key
 
 
-ChangeListener = Callable[[Sequence[Item]], None]  # takes the items of one batch
+ChangeListener = Callable[[Sequence[Item]], None]  # called with the changed items of one batch
 
 
 class ItemTable:
-    """The items of one node. Listeners are called once with each batch that changed something."""
+    """The items of one node. Listeners are called once for each batch that changed the table."""
 
     def __init__(self) -> None:
         self._items: dict[ItemName, Item] = {}
@@ -75,7 +75,7 @@
         return iter(tuple(self._items.values()))
 
     def get(self, kind: ItemKind, key: str) -> Item | None:
-        """Return the item that is held, a tombstone included; none where there is none."""
+        """Return the stored item, which may be a tombstone, or None if the key is absent."""
         return self._items.get((kind, key))
 
     def of_kind(self, kind: ItemKind) -> list[Item]:
@@ -83,11 +83,11 @@
         return [item for item in self._items.values() if item.kind is kind and not item.deleted]
 
     def add_listener(self, listener: ChangeListener) -> None:
-        """Call this with the items of each later batch that were new or had a higher version."""
+        """Register a listener, called with the items of each later batch that were new or had a higher version."""
         self._listeners.append(listener)
 
     def merge(self, items: Iterable[Item]) -> list[Item]:
-        """Take what has a higher version than what is held; return what was taken."""
+        """Store each item that is new or has a higher version than the stored item; return the stored items."""
         taken = [item for item in items if self._take(item)]
         if taken:
             for listener in self._listeners:
@@ -103,7 +103,7 @@
         return True
 
     def forget(self, kind: ItemKind, key: str) -> None:
-        """Drop an item without a trace: for tombstones whose key can never come again."""
+        """Remove an item without leaving a tombstone; meant for tombstones whose item can no longer return."""
         stored = self._items.pop((kind, key), None)
         if stored is not None:
             self._digests[kind] ^= _fingerprint(stored)
@@ -113,9 +113,9 @@
         return [item for item in self._items.values() if item.kind is kind]
 
     def digest(self, kind: ItemKind) -> int:
-        """Return a number that two nodes have in common when they hold the same versions of what is not deleted.
+        """Return the digest of a kind, equal on two nodes that store the same versions of all items not deleted.
 
-        Tombstones are left out: each node forgets them at its own time.
+        Tombstones are excluded, because each node removes tombstones at a different time.
         """
         return self._digests[kind]
 
