--- a/canvasbeam/distribution/control_mesh.py
+++ b/canvasbeam/distribution/control_mesh.py
@@ -21,10 +21,10 @@
 class MeshPeer:
     """Another control node. All times are nanoseconds of the local monotonic clock."""
 
-    known_since: int
-    is_listed: bool  # True for a current member; False for a seed or any other node that sent a message
+    added_at: int
+    is_member: bool  # True for a current member; False for a seed or any other node that sent a message
     last_seen_at: int = NEVER
-    retried_at: int = NEVER
+    probed_at: int = NEVER
 
 
 class ControlMesh:
@@ -34,21 +34,21 @@
         self.peers: dict[Address, MeshPeer] = {}
         self._parameters = parameters
 
-    def list_peers(self, now: int, members: Iterable[Address], seeds: Iterable[Address]) -> None:
+    def update_peers(self, now: int, members: Iterable[Address], seeds: Iterable[Address]) -> None:
         """Set the current members, and add the members and the seeds to the peers.
 
-        No peer is removed here: `forget_lost` removes peers that are not members.
+        No peer is removed here: `remove_lost_peers` removes peers that are not members.
         """
-        listed = set(members)
+        member_set = set(members)
         for address, peer in self.peers.items():
-            peer.is_listed = address in listed
-        for address in sorted(listed | set(seeds), key=str):
+            peer.is_member = address in member_set
+        for address in sorted(member_set | set(seeds), key=str):
             if address not in self.peers:
-                self.peers[address] = MeshPeer(now, address in listed)
+                self.peers[address] = MeshPeer(now, address in member_set)
 
-    def listed(self) -> tuple[Address, ...]:
+    def member_addresses(self) -> tuple[Address, ...]:
         """Return the addresses of the peers that are current members."""
-        return tuple(address for address, peer in self.peers.items() if peer.is_listed)
+        return tuple(address for address, peer in self.peers.items() if peer.is_member)
 
     def addresses(self) -> Iterable[Address]:
         """Return the addresses of all peers."""
@@ -71,12 +71,12 @@
         """Return the unresponsive peers whose retry interval has elapsed, and restart the interval for each of them."""
         due = []
         for address, peer in self.peers.items():
-            if not self._is_responsive(now, peer) and now - peer.retried_at >= self._parameters.mesh_retry_interval_ns:
-                peer.retried_at = now
+            if not self._is_responsive(now, peer) and now - peer.probed_at >= self._parameters.mesh_retry_interval_ns:
+                peer.probed_at = now
                 due.append(address)
         return tuple(due)
 
-    def forget_lost(self, now: int) -> bool:
+    def remove_lost_peers(self, now: int) -> bool:
         """Remove non-member peers that sent nothing for `mesh_forget_after_ns`; return True if any was removed.
 
         Remove none while fewer than half of the control nodes, including this node, are responsive.
@@ -91,8 +91,8 @@
         return bool(lost)
 
     def _is_lost(self, now: int, peer: MeshPeer) -> bool:
-        age = now - max(peer.last_seen_at, peer.known_since)
-        return not peer.is_listed and age > self._parameters.mesh_forget_after_ns
+        age = now - max(peer.last_seen_at, peer.added_at)
+        return not peer.is_member and age > self._parameters.mesh_forget_after_ns
 
     def _is_responsive(self, now: int, peer: MeshPeer) -> bool:
         return now - peer.last_seen_at < self._parameters.peer_timeout_ns
--- a/canvasbeam/distribution/control_peers.py
+++ b/canvasbeam/distribution/control_peers.py
@@ -30,7 +30,7 @@
         )
         self._table = table
         self._parameters = parameters
-        self._ahead: dict[Address, ControlVersions] = {}  # versions in grants newer than the local versions, by granter
+        self._newer_versions: dict[Address, ControlVersions] = {}  # versions in grants that this node lacks, by granter
         self._next_compare_at = now + parameters.mesh_compare_interval_ns
 
     # --- peers and electorates --------------------------------------------------------------------
@@ -42,11 +42,11 @@
         the previous view.
         """
         self.renewal.set_electorates(electorates)
-        self.list_peers(now, self.mesh.listed(), ())
+        self.update_peers(now, self.mesh.member_addresses(), ())
 
-    def list_peers(self, now: int, members: Iterable[Address], seeds: Iterable[Address]) -> None:
+    def update_peers(self, now: int, members: Iterable[Address], seeds: Iterable[Address]) -> None:
         """Set the current control nodes `members`; also add the seeds and the voters of the lease as peers."""
-        self.mesh.list_peers(now, tuple(members), (*seeds, *self.renewal.voters()))
+        self.mesh.update_peers(now, tuple(members), (*seeds, *self.renewal.voters()))
         self.renewal.update_electorates()
 
     # --- events -----------------------------------------------------------------------------------
@@ -63,13 +63,13 @@
         if sender not in self.mesh.peers:
             self.mesh.on_message(now, sender)
             self.renewal.update_electorates()
-        return _sends([self.renewal.on_request(sender, message)])
+        return _to_sends([self.renewal.on_request(sender, message)])
 
     def on_lease_grant(self, sender: Address, message: LeaseGrant) -> bool:
         """Record a grant of a lease request; return True if the contact instant advanced."""
         own_versions = ControlVersions.of(self._table)
         if not own_versions.covers(message.versions):
-            self._ahead[sender] = message.versions
+            self._newer_versions[sender] = message.versions
         return self.renewal.on_grant(sender, message, own_versions)
 
     def begin_write(self, now: int, items: Iterable[Item]) -> int:
@@ -78,7 +78,7 @@
 
     def send_write(self, now: int, number: int) -> list[Send]:
         """Return the messages that send a write to the responsive peers."""
-        return _sends(self.renewal.send_write(now, number))
+        return _to_sends(self.renewal.send_write(now, number))
 
     # --- time -------------------------------------------------------------------------------------
 
@@ -88,19 +88,19 @@
 
     def tick(self, now: int) -> list[Send]:
         """Remove lost peers; if a lease request is due, also request newer versions and compare tables."""
-        if self.mesh.forget_lost(now):
+        if self.mesh.remove_lost_peers(now):
             self.renewal.update_electorates()
         if not self.renewal.is_due(now):
             return []
         self.renewal.schedule_next(now)
-        return [*self._request_newer(), *_sends(self.renewal.request(now)), *self._compare(now)]
+        return [*self._request_newer(), *_to_sends(self.renewal.request(now)), *self._compare(now)]
 
     def _request_newer(self) -> list[Send]:
         """Request the versions that grants reported in the last interval and that no push has delivered since."""
-        ahead, self._ahead = self._ahead, {}
+        newer_versions, self._newer_versions = self._newer_versions, {}
         return [
             Send((granter,), request)
-            for granter, versions in ahead.items()
+            for granter, versions in newer_versions.items()
             for request in reconciliation.request_newer(self._table, versions)
         ]
 
@@ -112,5 +112,5 @@
         return [Send(peers, reconciliation.compare(self._table))]
 
 
-def _sends(leases: Iterable[SendLeaseMessage]) -> list[Send]:
+def _to_sends(leases: Iterable[SendLeaseMessage]) -> list[Send]:
     return [Send(send.addresses, send.message) for send in leases]
--- a/canvasbeam/distribution/distribution.py
+++ b/canvasbeam/distribution/distribution.py
@@ -112,7 +112,7 @@
         self._document_relay = DocumentRelay(self.documents, self._pushes, self._children, self._outbox)
         self._handlers = self._message_handlers()
         if me.is_control:
-            self._list_control_peers(now)
+            self._update_control_peers(now)
         table.add_listener(self._on_items)
 
     def _message_handlers(self) -> Mapping[type[Message], Handler]:
@@ -140,7 +140,7 @@
         """Handle a message from another node; ignore a message from this node."""
         if sender == self.me.address:
             return
-        self._note_seen(now, sender)
+        self._record_message(now, sender)
         self._handlers[type(message)](now, sender, message)
 
     def on_disconnected(self, now: int, address: Address) -> None:
@@ -165,13 +165,13 @@
         """Set the locations of the current members."""
         self._topology.set_locations(locations)
         if self.me.is_control:
-            self._list_control_peers(now)
+            self._update_control_peers(now)
 
     def set_seeds(self, now: int, seeds: Iterable[Address]) -> None:
         """Set the seed addresses after a change of the settings."""
         self._topology.set_seeds(seeds)
         if self.me.is_control:
-            self._list_control_peers(now)
+            self._update_control_peers(now)
 
     def set_electorates(self, now: int, electorates: Iterable[Iterable[Address]]) -> None:
         """Require a majority of each electorate for a lease; without effect on a data-plane node.
@@ -233,9 +233,9 @@
 
     # --- messages ---------------------------------------------------------------------------------
 
-    def _note_seen(self, now: int, sender: Address) -> None:
+    def _record_message(self, now: int, sender: Address) -> None:
         self.link.on_message(now, sender)
-        self._children.note_seen(now, sender)
+        self._children.record_message(now, sender)
         if self.me.is_control:
             self._outbox.extend(self.control_peers.on_message(now, sender))
 
@@ -254,7 +254,7 @@
         has_contact = message.contact_age < NO_CONTACT
         grant = RelayedGrant(parent.contact_at, message.versions)
         if has_contact and self.relayed_lease.on_grant(grant, ControlVersions.of(self.table)):
-            self._children.hasten_keepalive(now)
+            self._children.expedite_keepalive(now)
         if message.time.requested_at is None:
             # A parent pushes a version before it sends a keepalive with that version: a version still missing was lost.
             self._scrub.request_newer(parent.address, message.versions)
@@ -274,7 +274,7 @@
     def _on_lease_grant(self, now: int, sender: Address, message: LeaseGrant) -> None:
         self._document_relay.note_newest(message.versions.configuration)
         if self.control_peers.on_lease_grant(sender, message):
-            self._children.hasten_keepalive(now)
+            self._children.expedite_keepalive(now)
 
     # --- helpers ----------------------------------------------------------------------------------
 
@@ -291,8 +291,8 @@
             self._pushes.flush_pending(now)  # a keepalive must follow the push of every version that it reports
             self._children.send_keepalives(now)
 
-    def _list_control_peers(self, now: int) -> None:
-        self.control_peers.list_peers(now, self._topology.control_addresses(), self._topology.seeds)
+    def _update_control_peers(self, now: int) -> None:
+        self.control_peers.update_peers(now, self._topology.control_addresses(), self._topology.seeds)
 
     def _subscription(self) -> Subscribe:
         return Subscribe(digests(self.table))
--- a/canvasbeam/distribution/document_history.py
+++ b/canvasbeam/distribution/document_history.py
@@ -29,15 +29,15 @@
 
     def __init__(self) -> None:
         self._changes: deque[DocumentChange] = deque()
-        self._named = 0
+        self._key_count = 0
 
     def note(self, before: Version, old: Document, new: Document) -> None:
         """Record that document `old`, of version `before`, was replaced by `new`."""
         change = DocumentChange(before, new.changed_keys(old))
         self._changes.append(change)
-        self._named += len(change.keys)
-        while len(self._changes) > MAX_CHANGES or self._named > MAX_KEYS:
-            self._named -= len(self._changes.popleft().keys)
+        self._key_count += len(change.keys)
+        while len(self._changes) > MAX_CHANGES or self._key_count > MAX_KEYS:
+            self._key_count -= len(self._changes.popleft().keys)
 
     def keys_since(self, base: Version) -> frozenset[str] | None:
         """Return the keys that changed since version `base`, or None if the history does not contain `base`."""
--- a/canvasbeam/distribution/document_receiver.py
+++ b/canvasbeam/distribution/document_receiver.py
@@ -44,13 +44,13 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _PendingRequest:
     """The pending request for a chunk."""
 
     sender: Address
     requested_at: int
     collected: _Collected | None = None
-    number: int = 0  # number of the requested chunk
+    next_chunk: int = 0  # number of the requested chunk
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
         self.mismatches = 0  # transfers with a digest mismatch, since process start
         self._version: Version | None = None
         self._stored: VersionedDocument | None = None
-        self._waiting: _Waiting | None = None
+        self._waiting: _PendingRequest | None = None
         self._offer: _Offer | None = None
         self._needs_full_transfer = False
 
@@ -102,8 +102,8 @@
         if collected is None:
             return Received()
         waiting.requested_at = now
-        if waiting.number < collected.chunk_count:
-            return Received(DocumentRequest(self._base(), collected.transfer, waiting.number))
+        if waiting.next_chunk < collected.chunk_count:
+            return Received(DocumentRequest(self._base(), collected.transfer, waiting.next_chunk))
         return self._complete(now, waiting, collected, chunk.digest)
 
     def on_disconnected(self, address: Address) -> None:
@@ -123,24 +123,24 @@
 
     def _request_from(self, now: int, sender: Address) -> DocumentRequest:
         """Enter state `waiting` for a new transfer; no other method enters this state."""
-        self._waiting = _Waiting(sender, now)
+        self._waiting = _PendingRequest(sender, now)
         return DocumentRequest(self._base())
 
-    def _collect(self, waiting: _Waiting, chunk: DocumentChunk) -> _Collected | None:
+    def _collect(self, waiting: _PendingRequest, chunk: DocumentChunk) -> _Collected | None:
         """Add a chunk to its transfer; a first chunk starts the transfer. Return None for an unexpected chunk."""
-        if chunk.chunk == 0 and waiting.number == 0:
+        if chunk.chunk == 0 and waiting.next_chunk == 0:
             waiting.collected = _Collected(chunk.transfer, chunk.chunk_count)
         elif chunk.chunk == 0 and waiting.collected is not None and chunk.transfer != waiting.collected.transfer:
-            waiting.collected, waiting.number = _Collected(chunk.transfer, chunk.chunk_count), 0
+            waiting.collected, waiting.next_chunk = _Collected(chunk.transfer, chunk.chunk_count), 0
         collected = waiting.collected
-        if collected is None or chunk.transfer != collected.transfer or chunk.chunk != waiting.number:
+        if collected is None or chunk.transfer != collected.transfer or chunk.chunk != waiting.next_chunk:
             return None
         collected.changed.update(chunk.delta.changed)
         collected.removed.extend(chunk.delta.removed)
-        waiting.number += 1
+        waiting.next_chunk += 1
         return collected
 
-    def _complete(self, now: int, waiting: _Waiting, collected: _Collected, digest: int) -> Received:
+    def _complete(self, now: int, waiting: _PendingRequest, collected: _Collected, digest: int) -> Received:
         self._waiting = None
         complete = self._assemble(collected, digest)
         if complete is None:
--- a/canvasbeam/distribution/document_sender.py
+++ b/canvasbeam/distribution/document_sender.py
@@ -57,9 +57,9 @@
                 return transfer.chunk(request.chunk)
         if self._version is None or (request.base is not None and request.base >= self._version):
             return None
-        return self._begin(self._version, request.base).chunk(0)
+        return self._begin_transfer(self._version, request.base).chunk(0)
 
-    def _begin(self, version: Version, base: Version | None) -> Transfer:
+    def _begin_transfer(self, version: Version, base: Version | None) -> Transfer:
         keys = self._history.keys_since(base) if base is not None else None
         transfer_id = TransferId(version, base if keys is not None else None)
         transfer = self._transfers.get(transfer_id)
--- a/canvasbeam/distribution/parent_link.py
+++ b/canvasbeam/distribution/parent_link.py
@@ -70,7 +70,7 @@
         self._clocks = PeerClocks(now)
         self._was_stale = True
         self._parameters = parameters
-        self._order = order
+        self._parent_order = order
         self._subscribe = subscribe
         self._random = random.Random(seed)
         self._candidates: dict[Address, int] = {}  # send time of `Subscribe`, by candidate
@@ -191,7 +191,7 @@
 
     def _attach(self, now: int, address: Address, message: Keepalive, contact_at: int) -> list[Send]:
         """Enter state `attached` or change the parent; no other method does either."""
-        left = [*self._candidates, *([self.parent.address] if self.parent else [])]
+        dropped = [*self._candidates, *([self.parent.address] if self.parent else [])]
         self._candidates.clear()
         self._clocks.retain_only(address)
         self.parent = Parent(address, now, now, contact_at, message.depth, message.time)
@@ -199,7 +199,7 @@
         self.changes += 1
         self._next_improvement_at = now + self._jittered(self._improve_interval(now))
         self._next_renewal_at = now + self._parameters.renew_interval_ns
-        return [Send(tuple(left), Unsubscribe())] if left else []
+        return [Send(tuple(dropped), Unsubscribe())] if dropped else []
 
     def _detach(self, now: int) -> None:
         """Enter state `detached`; no other method enters this state."""
@@ -211,13 +211,13 @@
         age = self.contact_age(now)
         if age is None:
             return True
-        stale = self._parameters.contact_timeout_ns
+        stale_after_ns = self._parameters.contact_timeout_ns
         candidate_age = now - contact_at
-        if (age > stale) != (candidate_age > stale):
-            return age > stale
-        if age > stale:
+        if (age > stale_after_ns) != (candidate_age > stale_after_ns):
+            return age > stale_after_ns
+        if age > stale_after_ns:
             return candidate_age < age // 2
-        order = list(self._order())
+        order = list(self._parent_order())
         assert self.parent is not None
         if self.parent.address not in order:
             return True
@@ -227,11 +227,11 @@
         if now < self._next_attempt_at:
             return []
         self._next_attempt_at = now + self._parameters.candidate_interval_ns
-        order = [address for address in self._order() if address not in self._candidates]
+        order = [address for address in self._parent_order() if address not in self._candidates]
         if not order:
             return []
-        good = [address for address in order if self._avoided.get(address, 0) <= now]
-        address = good[0] if good else min(order, key=lambda avoided: self._avoided[avoided])
+        allowed = [address for address in order if self._avoided.get(address, 0) <= now]
+        address = allowed[0] if allowed else min(order, key=lambda avoided: self._avoided[avoided])
         return self._subscribe_to(now, address)
 
     def _improve(self, now: int) -> list[Send]:
@@ -244,7 +244,7 @@
         self._next_improvement_at = now + self._jittered(self._improve_interval(now))
         if self._candidates and not is_stale:
             return []
-        for address in self._order():
+        for address in self._parent_order():
             if address == self.parent.address:
                 if not is_stale:
                     return []
@@ -254,7 +254,7 @@
 
     def _attempt_avoided(self, now: int, parent: Parent) -> list[Send]:
         """Subscribe to the node whose avoidance ends first; used if the parent is stale and all others are avoided."""
-        others = [other for other in self._order() if other != parent.address and other not in self._candidates]
+        others = [other for other in self._parent_order() if other != parent.address and other not in self._candidates]
         return self._subscribe_to(now, min(others, key=lambda other: self._avoided[other])) if others else []
 
     def _renew(self, now: int) -> list[Send]:
@@ -273,8 +273,8 @@
     def _avoid(self, now: int, address: Address) -> None:
         self._avoided = {avoided: until for avoided, until in self._avoided.items() if until > now}
         is_urgent = self.parent is not None and self._is_stale(now)
-        span = self._parameters.avoid_while_stale_ns if is_urgent else self._parameters.avoid_ns
-        self._avoided[address] = now + self._jittered(span)
+        duration = self._parameters.avoid_while_stale_ns if is_urgent else self._parameters.avoid_ns
+        self._avoided[address] = now + self._jittered(duration)
 
     def _is_stale(self, now: int) -> bool:
         age = self.contact_age(now)
@@ -290,5 +290,5 @@
             else self._parameters.improve_interval_ns
         )
 
-    def _jittered(self, span: int) -> int:
-        return round(span * (0.75 + 0.5 * self._random.random()))
+    def _jittered(self, duration: int) -> int:
+        return round(duration * (0.75 + 0.5 * self._random.random()))
--- a/canvasbeam/distribution/pushes.py
+++ b/canvasbeam/distribution/pushes.py
@@ -42,15 +42,15 @@
 
     def merge(self, now: int, items: Iterable[Item], source: Address | None) -> list[Item]:
         """Merge items from `source` into the table, and push the new ones; return the new items."""
-        taken = self._table.merge(items)
-        for item in taken:
+        new_items = self._table.merge(items)
+        for item in new_items:
             if self._table.get(item.kind, item.key) is not item:
                 continue  # a listener has published a newer version of the item during the merge
             self._pending[item.name] = Change(item, source)
             if item.deleted:
                 self._tombstones.note(now, item)
         self.flush_due(now)
-        return taken
+        return new_items
 
     # --- time -------------------------------------------------------------------------------------
 
--- a/canvasbeam/distribution/reconciliation.py
+++ b/canvasbeam/distribution/reconciliation.py
@@ -33,11 +33,11 @@
     A document is announced in both cases; the receiver then requests the parts that it lacks.
     """
     for kind in ItemKind:
-        mine, other = table.digest(kind), theirs.get(kind, 0)
-        if mine == other:
+        local_digest, remote_digest = table.digest(kind), theirs.get(kind, 0)
+        if local_digest == remote_digest:
             continue
         items = table.of_kind(kind)
-        if other == 0 or any(item.document is not None for item in items):
+        if remote_digest == 0 or any(item.document is not None for item in items):
             yield from updates(items, update_bytes)
         else:
             yield Versions(kind, tuple(map(_record, table.all_of_kind(kind))))
--- a/canvasbeam/distribution/relay_children.py
+++ b/canvasbeam/distribution/relay_children.py
@@ -91,7 +91,7 @@
         """Remove a child that unsubscribes."""
         self.remove(sender)
 
-    def note_seen(self, now: int, sender: Address) -> None:
+    def record_message(self, now: int, sender: Address) -> None:
         """Record a message from `sender`, if it is a child."""
         if sender in self.children:
             self.children[sender].last_seen_at = now
@@ -111,7 +111,7 @@
         """Return the time at which the next keepalive is due."""
         return self._next_keepalive_at
 
-    def hasten_keepalive(self, now: int) -> None:
+    def expedite_keepalive(self, now: int) -> None:
         """Bring the next keepalive forward, because the contact instant advanced.
 
         At least 3/5 of the usual interval passes between two keepalives, so that they are sent little more often.
--- a/canvasbeam/distribution/scrub.py
+++ b/canvasbeam/distribution/scrub.py
@@ -42,7 +42,7 @@
         now: int,
     ) -> None:
         self._table = table
-        self._far_compare_interval_ns = parameters.control_compare_interval_ns
+        self._control_compare_interval_ns = parameters.control_compare_interval_ns
         self._max_update_bytes = parameters.max_update_bytes
         self._outbox = outbox
         self._topology = topology
@@ -79,7 +79,7 @@
         stored = self._table.get(kind, key)
         version = Version(stored.version.major, stored.version.minor + 1) if stored else Version(0)
         receivers = [self._link.parent.address] if self._link.parent else []
-        control = self._topology.draw_control_node()
+        control = self._topology.random_control_node()
         if control is not None and control not in receivers:
             receivers.append(control)
         if receivers:
@@ -90,8 +90,8 @@
         if now < self._next_control_compare_at:
             return
         self._next_control_compare_at = now + round(
-            self._far_compare_interval_ns * (0.75 + 0.5 * self._random.random())
+            self._control_compare_interval_ns * (0.75 + 0.5 * self._random.random())
         )
-        control = self._topology.draw_control_node()
+        control = self._topology.random_control_node()
         if control is not None and not self._link.is_parent(control):
             self._outbox.send((control,), reconciliation.compare(self._table))
--- a/canvasbeam/distribution/tombstones.py
+++ b/canvasbeam/distribution/tombstones.py
@@ -9,13 +9,13 @@
 
 from canvasbeam.item_table.items import Item, ItemName, ItemTable, Version
 
-MAX_FORGOTTEN_AT_ONCE = 64  # tombstones examined per call, to bound the duration of a call
+MAX_EXAMINED_PER_CALL = 64  # tombstones examined per call, to bound the duration of a call
 
 
 @dataclass(frozen=True, slots=True)
 class _Tombstone:
     version: Version
-    until: int  # expiry time, nanoseconds
+    expires_at: int  # expiry time, nanoseconds
 
 
 class Tombstones:
@@ -32,8 +32,8 @@
 
     def forget_due(self, now: int) -> None:
         """Remove expired tombstones from the table, except those that another version has replaced."""
-        for name, tombstone in tuple(self._tombstones.items())[:MAX_FORGOTTEN_AT_ONCE]:
-            if tombstone.until > now:
+        for name, tombstone in tuple(self._tombstones.items())[:MAX_EXAMINED_PER_CALL]:
+            if tombstone.expires_at > now:
                 return
             del self._tombstones[name]
             stored = self._table.get(*name)
--- a/canvasbeam/distribution/topology.py
+++ b/canvasbeam/distribution/topology.py
@@ -38,15 +38,15 @@
     def parent_order(self) -> tuple[Address, ...]:
         """Return the addresses of possible parents, best first; seeds of equal preference are in random order."""
         if self._parent_order is None:
-            drawn = sorted(self.seeds, key=lambda seed: self._random.random())
-            self._parent_order = parent_order(self._me, self._locations, likely_nearest(self._me.address, drawn))
+            shuffled = sorted(self.seeds, key=lambda seed: self._random.random())
+            self._parent_order = parent_order(self._me, self._locations, likely_nearest(self._me.address, shuffled))
         return self._parent_order
 
     def control_addresses(self) -> list[Address]:
         """Return the addresses of all other control nodes among the members."""
         return [node.address for node in self._locations if node.is_control and node.address != self._me.address]
 
-    def draw_control_node(self) -> Address | None:
+    def random_control_node(self) -> Address | None:
         """Return the address of a random other control node, or None if no other is known."""
         addresses = self.control_addresses()
         return self._random.choice(addresses) if addresses else None
--- a/canvasbeam/item_table/document.py
+++ b/canvasbeam/item_table/document.py
@@ -37,9 +37,9 @@
     def apply(self, delta: DocumentDelta) -> Document:
         """Return the document that results from a delta; unchanged entries are shared with this document."""
         entries = dict(self.entries)
-        gone = [(key, entries.pop(key)) for key in (*delta.removed, *delta.changed) if key in entries]
+        old_entries = [(key, entries.pop(key)) for key in (*delta.removed, *delta.changed) if key in entries]
         entries.update(delta.changed)
-        digest = self.digest - sum_of_digests(gone) + sum_of_digests(delta.changed.items())
+        digest = self.digest - sum_of_digests(old_entries) + sum_of_digests(delta.changed.items())
         return Document(entries, digest % _DIGEST_RANGE)
 
     def changed_keys(self, before: Document) -> frozenset[str]:
--- a/canvasbeam/item_table/items.py
+++ b/canvasbeam/item_table/items.py
@@ -88,11 +88,11 @@
 
     def merge(self, items: Iterable[Item]) -> list[Item]:
         """Store each item that is new or has a higher version than the stored item; return the stored items."""
-        taken = [item for item in items if self._take(item)]
-        if taken:
+        changed = [item for item in items if self._take(item)]
+        if changed:
             for listener in self._listeners:
-                listener(taken)
-        return taken
+                listener(changed)
+        return changed
 
     def _take(self, item: Item) -> bool:
         stored = self._items.get(item.name)
