--- a/canvasbeam/distribution/pushes.py
+++ b/canvasbeam/distribution/pushes.py
@@ -48,7 +48,7 @@
                 continue  # a listener has published a newer version of the item during the merge
             self._pending[item.name] = Change(item, source)
             if item.deleted:
-                self._tombstones.note(now, item)
+                self._tombstones.record(now, item)
         self.flush_due(now)
         return new_items
 
--- a/canvasbeam/distribution/tombstones.py
+++ b/canvasbeam/distribution/tombstones.py
@@ -26,7 +26,7 @@
         self._keep_ns = keep_ns
         self._tombstones: dict[ItemName, _Tombstone] = {}
 
-    def note(self, now: int, item: Item) -> None:
+    def record(self, now: int, item: Item) -> None:
         """Record a tombstone that was merged into the table."""
         self._tombstones[item.name] = _Tombstone(item.version, now + self._keep_ns)
 
