--- a/canvasbeam/distribution/distribution.py
+++ b/canvasbeam/distribution/distribution.py
@@ -193,7 +193,7 @@
         self._scrub.refresh(kind, key)
 
     def begin_write(self, now: int, items: Iterable[Item]) -> int:
-        """Start a write of items to a majority of the control nodes; return its number.
+        """Start a write of items to a majority of the control nodes; return the number of the write.
 
         `lease.is_written(number)` is True once a majority stores the items.
         """
--- a/canvasbeam/distribution/parameters.py
+++ b/canvasbeam/distribution/parameters.py
@@ -29,13 +29,13 @@
     avoid_ns: int = 3 * SECOND  # time without attempts at a node after it was lost as parent or did not answer
     avoid_while_stale_ns: int = 800 * MILLISECOND  # replaces `avoid_ns` while the parent is stale
     improve_interval_ns: int = 2 * SECOND  # interval between attempts to find a better parent
-    improve_interval_while_stale_ns: int = 400 * MILLISECOND  # interval of these attempts while the parent is stale
+    improve_interval_while_stale_ns: int = 400 * MILLISECOND  # replaces `improve_interval_ns` while the parent is stale
     stable_parent_ns: int = 20 * SECOND  # time with one parent after which the doublings of `peer_timeout_ns` are reset
     process_stall_ns: int = 250 * MILLISECOND  # delay of a timer from which a stall of the process is inferred
 
     # Parameters for links between control nodes.
     lease_renewal_interval_ns: int = 250 * MILLISECOND
-    exchange_timeout_ns: int = 2 * SECOND  # a control node without a newer answer of another node directs no callers
+    exchange_timeout_ns: int = 2 * SECOND  # a control node unanswered by other nodes for longer directs no callers
     mesh_compare_interval_ns: int = SECOND  # interval between comparisons of item tables of control nodes
     mesh_retry_interval_ns: int = 500 * MILLISECOND  # interval between probes of each unresponsive control node
     mesh_forget_after_ns: int = 15 * SECOND  # silence after which a control node that is not a member is removed
--- a/canvasbeam/distribution/parent_link.py
+++ b/canvasbeam/distribution/parent_link.py
@@ -114,7 +114,7 @@
         if sender not in self._candidates:
             return self._on_unexpected_keepalive(now, sender, message, contact_at)
         if contact_at is None:
-            return []  # sent before the candidate received the `Subscribe`, so not an answer to it
+            return []  # a keepalive sent before the candidate received the `Subscribe` is not an answer
         del self._candidates[sender]
         if not self._is_better(now, sender, contact_at):
             self._avoid(now, sender)
--- a/canvasbeam/distribution/reconciliation.py
+++ b/canvasbeam/distribution/reconciliation.py
@@ -70,7 +70,7 @@
 
 
 def request_newer(table: ItemTable, versions: ControlVersions) -> Iterator[Request]:
-    """Yield requests for the configuration and the evacuations, each only if newer in `versions` than stored."""
+    """Yield a request for each of configuration and evacuations whose index in `versions` exceeds the stored index."""
     own_versions = ControlVersions.of(table)
     if versions.configuration > own_versions.configuration:
         yield _request_current(ItemKind.CONFIGURATION, versions.configuration)
@@ -79,7 +79,7 @@
 
 
 def compare(table: ItemTable) -> Compare:
-    """Return the message that makes a node compare its table with this table."""
+    """Return a `Compare` message with the digests of `table`."""
     return Compare(digests(table))
 
 
--- a/canvasbeam/distribution/scrub.py
+++ b/canvasbeam/distribution/scrub.py
@@ -71,7 +71,7 @@
     # --- requests ---------------------------------------------------------------------------------
 
     def request_newer(self, address: Address, versions: ControlVersions) -> None:
-        """Request the configuration and the evacuations from a node, each only if newer in `versions` than stored."""
+        """Request each of configuration and evacuations whose index in `versions` exceeds the stored index."""
         self._outbox.reply(address, reconciliation.request_newer(self._table, versions))
 
     def refresh(self, kind: ItemKind, key: str) -> None:
