--- a/canvasbeam/distribution/distribution.py
+++ b/canvasbeam/distribution/distribution.py
@@ -45,7 +45,7 @@
     Update,
     Versions,
 )
-from canvasbeam.distribution.node_standing import NodeStanding
+from canvasbeam.distribution.node_standing import NodeStatus
 from canvasbeam.distribution.outbox import Outbox
 from canvasbeam.distribution.parameters import DistributionParameters
 from canvasbeam.distribution.parent_link import Parent, ParentLink
@@ -95,7 +95,7 @@
         self._outbox = Outbox()
         self._topology = Topology(me, seeds, generator)
         self.link = ParentLink(parameters, self._topology.parent_order, self._subscription, seed=seed, now=now)
-        self.standing = NodeStanding(
+        self.standing = NodeStatus(
             parameters,
             self.link,
             self.control_peers,
--- a/canvasbeam/distribution/node_standing.py
+++ b/canvasbeam/distribution/node_standing.py
@@ -14,7 +14,7 @@
 from canvasbeam.runtime.settings import Address
 
 
-class NodeStanding:
+class NodeStatus:
     """The depth and contact of one node. Instants and ages are nanoseconds of the local monotonic clock."""
 
     def __init__(
--- a/canvasbeam/distribution/relay_children.py
+++ b/canvasbeam/distribution/relay_children.py
@@ -1,7 +1,7 @@
 """The children of this node in the relay tree, and the keepalives sent to children.
 
 The module does no I/O: events and the time are its input, messages in the outbox are its output. It owns the children
-and the schedule of keepalives. `NodeStanding` provides the contact and depth in a keepalive; `pushes.py` sends changed
+and the schedule of keepalives. `NodeStatus` provides the contact and depth in a keepalive; `pushes.py` sends changed
 items.
 """
 
@@ -19,7 +19,7 @@
     Subscribe,
     Unsubscribe,
 )
-from canvasbeam.distribution.node_standing import NodeStanding
+from canvasbeam.distribution.node_standing import NodeStatus
 from canvasbeam.distribution.outbox import Outbox
 from canvasbeam.distribution.parameters import DistributionParameters
 from canvasbeam.item_table.items import ItemTable
@@ -43,7 +43,7 @@
         table: ItemTable,
         parameters: DistributionParameters,
         outbox: Outbox,
-        standing: NodeStanding,
+        standing: NodeStatus,
         *,
         incarnation: int,
         now: int,
--- a/tests/distribution/test_soft_state_explorer.py
+++ b/tests/distribution/test_soft_state_explorer.py
@@ -25,7 +25,7 @@
 from canvasbeam.distribution.document_history import DocumentHistory
 from canvasbeam.distribution.document_receiver import DocumentReceiver
 from canvasbeam.distribution.messages import Message
-from canvasbeam.distribution.node_standing import NodeStanding
+from canvasbeam.distribution.node_standing import NodeStatus
 from canvasbeam.distribution.parent_link import ParentLink
 from canvasbeam.distribution.pushes import Pushes
 from canvasbeam.item_table import items
@@ -140,7 +140,7 @@
 # --- planted faults -------------------------------------------------------------------------------------------------
 
 
-def contact_from_received_messages(self: NodeStanding) -> int | None:
+def contact_from_received_messages(self: NodeStatus) -> int | None:
     """Planted fault: a control node counts contact by received messages, even if its own messages reach nobody."""
     if not self._is_control:
         return self._relayed_lease.instant
@@ -245,7 +245,7 @@
 
 FAULTS: dict[str, PlantedFault] = {
     "contact counted from received messages": PlantedFault(
-        (patch_attribute(NodeStanding, "contact_instant", property(contact_from_received_messages)),),
+        (patch_attribute(NodeStatus, "contact_instant", property(contact_from_received_messages)),),
         VouchedWithoutContactError,
         (walk_faults.a_control_is_cut_from_the_others,),
     ),
