--- a/canvasbeam/distribution/distribution.py
+++ b/canvasbeam/distribution/distribution.py
@@ -45,7 +45,7 @@
     Update,
     Versions,
 )
-from canvasbeam.distribution.node_standing import NodeStatus
+from canvasbeam.distribution.node_status import NodeStatus
 from canvasbeam.distribution.outbox import Outbox
 from canvasbeam.distribution.parameters import DistributionParameters
 from canvasbeam.distribution.parent_link import Parent, ParentLink
--- a/canvasbeam/distribution/relay_children.py
+++ b/canvasbeam/distribution/relay_children.py
@@ -19,7 +19,7 @@
     Subscribe,
     Unsubscribe,
 )
-from canvasbeam.distribution.node_standing import NodeStatus
+from canvasbeam.distribution.node_status import NodeStatus
 from canvasbeam.distribution.outbox import Outbox
 from canvasbeam.distribution.parameters import DistributionParameters
 from canvasbeam.item_table.items import ItemTable
--- a/tests/distribution/test_soft_state_explorer.py
+++ b/tests/distribution/test_soft_state_explorer.py
@@ -25,7 +25,7 @@
 from canvasbeam.distribution.document_history import DocumentHistory
 from canvasbeam.distribution.document_receiver import DocumentReceiver
 from canvasbeam.distribution.messages import Message
-from canvasbeam.distribution.node_standing import NodeStatus
+from canvasbeam.distribution.node_status import NodeStatus
 from canvasbeam.distribution.parent_link import ParentLink
 from canvasbeam.distribution.pushes import Pushes
 from canvasbeam.item_table import items
