--- a/canvasbeam/cluster/node_core.py
+++ b/canvasbeam/cluster/node_core.py
@@ -178,11 +178,11 @@
 
     def contact_age(self, now: int) -> int | None:
         """Return the age of the contact instant (own or relayed lease) in nanoseconds, or None before the first."""
-        return self.distribution.standing.contact_age(now)
+        return self.distribution.node_status.contact_age(now)
 
     def has_majority(self, now: int) -> bool:
         """Return True if the contact lease of this node is in force."""
-        instant = self.distribution.standing.contact_instant
+        instant = self.distribution.node_status.contact_instant
         return contact_state(instant, now, self.parameters.contact_timeout_ns) is ContactState.CONFIRMED
 
     @property
--- a/canvasbeam/distribution/distribution.py
+++ b/canvasbeam/distribution/distribution.py
@@ -95,7 +95,7 @@
         self._outbox = Outbox()
         self._topology = Topology(me, seeds, generator)
         self.link = ParentLink(parameters, self._topology.parent_order, self._subscription, seed=seed, now=now)
-        self.standing = NodeStatus(
+        self.node_status = NodeStatus(
             parameters,
             self.link,
             self.control_peers,
@@ -103,7 +103,7 @@
             self.documents,
             is_control=me.is_control,
         )
-        self._children = RelayChildren(table, parameters, self._outbox, self.standing, incarnation=seed, now=now)
+        self._children = RelayChildren(table, parameters, self._outbox, self.node_status, incarnation=seed, now=now)
         receivers = PushReceivers(self.link, self._children, self.control_peers, is_control=me.is_control)
         self._pushes = Pushes(table, parameters, self._outbox, receivers, now)
         self._scrub = Scrub(
@@ -224,7 +224,7 @@
     @property
     def lease(self) -> ContactLease:
         """The contact lease of a control node; on a data-plane node, a lease that is never granted."""
-        return self.standing.lease
+        return self.node_status.lease
 
     @property
     def children(self) -> Mapping[Address, Child]:
--- a/canvasbeam/distribution/relay_children.py
+++ b/canvasbeam/distribution/relay_children.py
@@ -43,7 +43,7 @@
         table: ItemTable,
         parameters: DistributionParameters,
         outbox: Outbox,
-        standing: NodeStatus,
+        node_status: NodeStatus,
         *,
         incarnation: int,
         now: int,
@@ -52,7 +52,7 @@
         self._table = table
         self._parameters = parameters
         self._outbox = outbox
-        self._standing = standing
+        self._node_status = node_status
         self._incarnation = incarnation  # identifies the clock of the send times in keepalives
         self._next_keepalive_at = now
         self._keepalive_sent_at = now - parameters.keepalive_interval_ns
@@ -65,8 +65,8 @@
 
     def on_subscribe(self, now: int, sender: Address, message: Subscribe) -> None:
         """Add a child; refuse a subscriber that would cause a cycle, exceed `max_depth` or exceed `max_children`."""
-        is_too_deep = self._standing.depth >= self._parameters.max_depth
-        if self._standing.is_parent(sender) or is_too_deep or self._is_full(sender):
+        is_too_deep = self._node_status.depth >= self._parameters.max_depth
+        if self._node_status.is_parent(sender) or is_too_deep or self._is_full(sender):
             self._outbox.send((sender,), Refuse())
             return
         if not self.children:
@@ -83,7 +83,7 @@
             return
         received = message.received
         if received is not None and received.incarnation == self._incarnation:
-            self._standing.note_exchange(min(received.sent_at, now))
+            self._node_status.note_exchange(min(received.sent_at, now))
         if message.requested_at is not None:
             self._outbox.send((sender,), self._keepalive(now, requested_at=message.requested_at))
 
@@ -136,14 +136,14 @@
         self._outbox.send(self.children, self._keepalive(now, with_digests=is_comparing))
 
     def _keepalive(self, now: int, *, with_digests: bool = False, requested_at: int | None = None) -> Keepalive:
-        age = self._standing.contact_age(now)
+        age = self._node_status.contact_age(now)
         return Keepalive(
             NO_CONTACT if age is None else min(age, NO_CONTACT),
-            self._standing.depth,
+            self._node_status.depth,
             reconciliation.digests(self._table) if with_digests else {},
             ControlVersions.of(self._table),
             SendTime(self._incarnation, now, requested_at),
-            self._standing.newest_configuration,
+            self._node_status.newest_configuration,
         )
 
     def _is_full(self, sender: Address) -> bool:
--- a/tests/leases/test_contact_cuts.py
+++ b/tests/leases/test_contact_cuts.py
@@ -74,7 +74,7 @@
 
 def test_contact_ages_below_relays_stay_below_contact_timeout() -> None:
     network, _controls, edges = fleet(edges=60)
-    deepest = max(edge.core.distribution.standing.depth for edge in edges)
+    deepest = max(edge.core.distribution.node_status.depth for edge in edges)
     assert deepest == 2
     for _ in range(300):
         network.run(13 * MS)
@@ -223,7 +223,7 @@
 def test_age_of_stalled_keepalives_counts_from_their_sending() -> None:
     network, controls, _edges = fleet()
     child = children_of(network, controls[0])[0]
-    before = child.core.distribution.standing.contact_instant
+    before = child.core.distribution.node_status.contact_instant
     network.stall(controls, [child])
     network.run(SECOND)
     held_until = network.now
@@ -235,7 +235,7 @@
     network.lose_message = lambda source, target, message: target == child.address
     for _ in range(300):
         network.run(10 * MS)
-        instant = child.core.distribution.standing.contact_instant
+        instant = child.core.distribution.node_status.contact_instant
         assert before is not None
         assert instant is not None
         assert before <= instant <= held_until
@@ -251,7 +251,7 @@
     network.cut([controls[0]], controls[1:])
     network.release()
     network.run(60 * MS)
-    instant = controls[0].core.distribution.standing.contact_instant
+    instant = controls[0].core.distribution.node_status.contact_instant
     assert instant is not None
     assert instant <= held_since
     network.run(CONTACT_TIMEOUT)
@@ -270,7 +270,7 @@
     network.run(4 * SECOND + MS)
     assert not is_in_contact(network, controls[0])
     assert not controls[0].core.has_recent_exchange(network.now)
-    instant = controls[0].core.distribution.standing.contact_instant
+    instant = controls[0].core.distribution.node_status.contact_instant
     assert instant is not None
     assert instant <= frozen_at
     network.run_until(lambda: is_in_contact(network, controls[0]), 500 * MS)
--- a/tests/leases/test_contact_walks.py
+++ b/tests/leases/test_contact_walks.py
@@ -77,7 +77,7 @@
 
     def check(self) -> None:
         for host in self.hosts:
-            instant = host.core.distribution.standing.contact_instant
+            instant = host.core.distribution.node_status.contact_instant
             if instant is None:
                 continue
             held = ControlVersions.of(host.core.table).configuration
