--- a/canvasbeam/distribution/relay_tree.py
+++ b/canvasbeam/distribution/relay_tree.py
@@ -45,7 +45,7 @@
     return tuple(address for address in dict.fromkeys(addresses) if address != me.address)
 
 
-def likely_nearest(me: Address, seeds: Iterable[Address]) -> list[Address]:
+def sort_by_shared_prefix(me: Address, seeds: Iterable[Address]) -> list[Address]:
     """Return the seeds, longest common address prefix with `me` first, for use while no node locations are known."""
     return sorted(seeds, key=lambda seed: -_common_prefix_length(me.host, seed.host))
 
--- a/canvasbeam/distribution/topology.py
+++ b/canvasbeam/distribution/topology.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Iterable, Sequence
 
-from canvasbeam.distribution.relay_tree import likely_nearest, parent_order
+from canvasbeam.distribution.relay_tree import parent_order, sort_by_shared_prefix
 from canvasbeam.failure_detection.node_location import NodeLocation
 from canvasbeam.runtime.settings import Address
 
@@ -39,7 +39,9 @@
         """Return the addresses of possible parents, best first; seeds of equal preference are in random order."""
         if self._parent_order is None:
             shuffled = sorted(self.seeds, key=lambda seed: self._random.random())
-            self._parent_order = parent_order(self._me, self._locations, likely_nearest(self._me.address, shuffled))
+            self._parent_order = parent_order(
+                self._me, self._locations, sort_by_shared_prefix(self._me.address, shuffled)
+            )
         return self._parent_order
 
     def control_addresses(self) -> list[Address]:
--- a/tests/distribution/test_fast_start.py
+++ b/tests/distribution/test_fast_start.py
@@ -13,7 +13,7 @@
 from canvasbeam.cluster.worker_items import worker_item
 from canvasbeam.data_plane import readiness
 from canvasbeam.data_plane.program import DataPlane
-from canvasbeam.distribution.relay_tree import likely_nearest
+from canvasbeam.distribution.relay_tree import sort_by_shared_prefix
 from canvasbeam.errors import Failure
 from canvasbeam.item_table.items import Item, ItemKind
 from canvasbeam.runtime.http_server import HttpServer
@@ -58,7 +58,7 @@
 
 def test_seeds_sharing_address_prefix_come_first_and_ties_keep_order() -> None:
     seeds = [Address(host, 1) for host in ("10.2.0.9", "10.1.7.7", "10.1.0.9", "10.3.0.9")]
-    ordered = likely_nearest(Address("10.1.0.4", 1), seeds)
+    ordered = sort_by_shared_prefix(Address("10.1.0.4", 1), seeds)
     assert [name.host for name in ordered] == ["10.1.0.9", "10.1.7.7", "10.2.0.9", "10.3.0.9"]
 
 
