--- a/canvasbeam/distribution/distribution.py
+++ b/canvasbeam/distribution/distribution.py
@@ -242,7 +242,7 @@
     def _on_keepalive(self, now: int, sender: Address, message: Keepalive) -> None:
         if self.me.is_control:
             return
-        self._document_relay.note_newest(max(message.newest, message.versions.configuration))
+        self._document_relay.record_newest(max(message.newest, message.versions.configuration))
         self._outbox.extend(self.link.on_keepalive(now, sender, message))
         parent = self.link.parent
         if parent is not None and parent.address == sender:
@@ -272,7 +272,7 @@
             self._outbox.extend(self.control_peers.on_lease_request(now, sender, message))
 
     def _on_lease_grant(self, now: int, sender: Address, message: LeaseGrant) -> None:
-        self._document_relay.note_newest(message.versions.configuration)
+        self._document_relay.record_newest(message.versions.configuration)
         if self.control_peers.on_lease_grant(sender, message):
             self._children.expedite_keepalive(now)
 
--- a/canvasbeam/distribution/document_exchange.py
+++ b/canvasbeam/distribution/document_exchange.py
@@ -39,7 +39,7 @@
                 if item.document is not None:
                     self._sender.hold(item.version, item.document)
 
-    def note_newest(self, index: int) -> Announce | None:
+    def record_newest(self, index: int) -> Announce | None:
         """Record the index of a known configuration; return an announcement if it is the newest known so far."""
         if index <= self.newest:
             return None
--- a/canvasbeam/distribution/document_relay.py
+++ b/canvasbeam/distribution/document_relay.py
@@ -25,15 +25,15 @@
         self._children = children
         self._outbox = outbox
 
-    def note_newest(self, index: int) -> None:
+    def record_newest(self, index: int) -> None:
         """Record the index of a known configuration; announce an index higher than all before to the children."""
-        announcement = self._documents.note_newest(index)
+        announcement = self._documents.record_newest(index)
         if announcement is not None:
             self._children.send(announcement)
 
     def on_announce(self, now: int, sender: Address, message: Announce) -> None:
         """Request a configuration that is newer than the stored one; announce a stored one unknown to the sender."""
-        self.note_newest(message.newest)
+        self.record_newest(message.newest)
         self._outbox.reply(sender, self._documents.on_offer(now, sender, message))
 
     def on_request(self, now: int, sender: Address, message: DocumentRequest) -> None:
--- a/tests/distribution/test_documents.py
+++ b/tests/distribution/test_documents.py
@@ -202,8 +202,8 @@
 
 def test_newest_version_number_is_announced_before_document_arrives() -> None:
     exchange = DocumentExchange()
-    assert exchange.note_newest(4) == Announce(0, 4)
-    assert exchange.note_newest(4) is None
+    assert exchange.record_newest(4) == Announce(0, 4)
+    assert exchange.record_newest(4) is None
     assert exchange.is_behind
     exchange.on_items([Item(ItemKind.CONFIGURATION, "current", Version(4), document=document(a="1"))])
     assert not exchange.is_behind
