--- a/canvasbeam/item_table/items.py
+++ b/canvasbeam/item_table/items.py
@@ -88,13 +88,13 @@
 
     def merge(self, items: Iterable[Item]) -> list[Item]:
         """Store each item that is new or has a higher version than the stored item; return the stored items."""
-        changed = [item for item in items if self._take(item)]
+        changed = [item for item in items if self._store(item)]
         if changed:
             for listener in self._listeners:
                 listener(changed)
         return changed
 
-    def _take(self, item: Item) -> bool:
+    def _store(self, item: Item) -> bool:
         stored = self._items.get(item.name)
         if stored is not None and stored.version >= item.version:
             return False
