--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -171,9 +171,9 @@
     assert after_patch.configuration is not None
     after = document_of(after_patch.configuration, before)
     sender = DocumentSender()
-    sender.hold(Version(1), before)
+    sender.set_stored(Version(1), before)
     whole = transfer(sender, None)
-    sender.hold(Version(2), after)
+    sender.set_stored(Version(2), after)
     delta = transfer(sender, Version(1))
     adopted = Configuration(before)
     return {
@@ -453,7 +453,7 @@
     table.merge(_decoded_items([member_item(member(number, False)) for number in range(members)]))
     with_members = tracemalloc.get_traced_memory()[0]
     sender = DocumentSender()
-    sender.hold(Version(1), document_of(configuration_document(tenants)))
+    sender.set_stored(Version(1), document_of(configuration_document(tenants)))
     messages = transfer(sender, None)
     del sender
     with_members = tracemalloc.get_traced_memory()[0]
--- a/canvasbeam/distribution/document_exchange.py
+++ b/canvasbeam/distribution/document_exchange.py
@@ -35,9 +35,9 @@
             if item.kind is ItemKind.CONFIGURATION and item.key == CURRENT and not item.deleted:
                 self.stored = item.version.major
                 self.newest = max(self.newest, self.stored)
-                self._receiver.hold(item.version, item.document)
+                self._receiver.set_stored(item.version, item.document)
                 if item.document is not None:
-                    self._sender.hold(item.version, item.document)
+                    self._sender.set_stored(item.version, item.document)
 
     def record_newest(self, index: int) -> Announce | None:
         """Record the index of a known configuration; return an announcement if it is the newest known so far."""
--- a/canvasbeam/distribution/document_receiver.py
+++ b/canvasbeam/distribution/document_receiver.py
@@ -78,7 +78,7 @@
         self._offer: _Offer | None = None
         self._needs_full_transfer = False
 
-    def hold(self, version: Version, document: Document | None) -> None:
+    def set_stored(self, version: Version, document: Document | None) -> None:
         """Set the stored version, however received; `document` is None if the version cannot be the base of a delta."""
         self._version = version
         self._stored = VersionedDocument(version, document) if document is not None else None
@@ -150,7 +150,7 @@
         self._needs_full_transfer = False
         if not self._lacks(complete.version):
             return Received()
-        self.hold(complete.version, complete.document)
+        self.set_stored(complete.version, complete.document)
         return Received(self._request_offer(now, waiting.sender), complete)
 
     def _assemble(self, collected: _Collected, digest: int) -> VersionedDocument | None:
--- a/canvasbeam/distribution/document_sender.py
+++ b/canvasbeam/distribution/document_sender.py
@@ -43,7 +43,7 @@
         self._document = Document()
         self._transfers: OrderedDict[TransferId, Transfer] = OrderedDict()
 
-    def hold(self, version: Version, document: Document) -> None:
+    def set_stored(self, version: Version, document: Document) -> None:
         """Set the stored document and its version; record the change in the history."""
         if self._version is not None:
             self._history.note(self._version, self._document, document)
--- a/tests/distribution/test_documents.py
+++ b/tests/distribution/test_documents.py
@@ -109,7 +109,7 @@
 def sender_with(*documents: Document) -> DocumentSender:
     sender = DocumentSender()
     for number, each in enumerate(documents, 1):
-        sender.hold(Version(number), each)
+        sender.set_stored(Version(number), each)
     return sender
 
 
@@ -155,7 +155,7 @@
     assert request is not None
     first = sender.answer(request)
     assert first is not None
-    sender.hold(Version(2), document(a="1"))
+    sender.set_stored(Version(2), document(a="1"))
     assert receiver.on_offer(0, PARENT, Version(2)) is None
     following = receiver.on_chunk(0, PARENT, first).request
     assert following is not None
@@ -172,7 +172,7 @@
 
 def test_digest_mismatch_is_followed_by_request_for_full_copy() -> None:
     sender, receiver = sender_with(document(a="1"), document(a="2")), DocumentReceiver()
-    receiver.hold(Version(1), document(a="1"))
+    receiver.set_stored(Version(1), document(a="1"))
     request = receiver.on_offer(0, PARENT, Version(2))
     assert request == DocumentRequest(Version(1))
     chunk = sender.answer(request)
