--- a/canvasbeam/distribution/document_history.py
+++ b/canvasbeam/distribution/document_history.py
@@ -31,7 +31,7 @@
         self._changes: deque[DocumentChange] = deque()
         self._key_count = 0
 
-    def note(self, before: Version, old: Document, new: Document) -> None:
+    def record_change(self, before: Version, old: Document, new: Document) -> None:
         """Record that document `old`, of version `before`, was replaced by `new`."""
         change = DocumentChange(before, new.changed_keys(old))
         self._changes.append(change)
--- a/canvasbeam/distribution/document_sender.py
+++ b/canvasbeam/distribution/document_sender.py
@@ -46,7 +46,7 @@
     def set_stored(self, version: Version, document: Document) -> None:
         """Set the stored document and its version; record the change in the history."""
         if self._version is not None:
-            self._history.note(self._version, self._document, document)
+            self._history.record_change(self._version, self._document, document)
         self._version, self._document = version, document
 
     def answer(self, request: DocumentRequest) -> DocumentChunk | None:
--- a/tests/distribution/test_documents.py
+++ b/tests/distribution/test_documents.py
@@ -89,7 +89,7 @@
     history = DocumentHistory()
     steps = [document(a="1"), document(a="1", b="1"), document(a="2", b="1"), document(b="1")]
     for number, (old, new) in enumerate(itertools.pairwise(steps)):
-        history.note(Version(number), old, new)
+        history.record_change(Version(number), old, new)
     assert history.keys_since(Version(2)) == frozenset({"a"})
     assert history.keys_since(Version(0)) == frozenset({"a", "b"})
     assert history.keys_since(Version(7)) is None
@@ -98,7 +98,7 @@
 def test_history_is_bounded() -> None:
     history = DocumentHistory()
     for number in range(2 * MAX_CHANGES):
-        history.note(Version(number), document(a=str(number)), document(a=str(number + 1)))
+        history.record_change(Version(number), document(a=str(number)), document(a=str(number + 1)))
     assert history.keys_since(Version(MAX_CHANGES - 1)) is None
     assert history.keys_since(Version(MAX_CHANGES)) == frozenset({"a"})
 
