--- a/canvasbeam/distribution/__init__.py
+++ b/canvasbeam/distribution/__init__.py
@@ -13,6 +13,6 @@
 - `relay_children.py`: the children, and the keepalives sent to children;
 - `control_peers.py`, `control_mesh.py`: the messages between control nodes, including lease messages;
 - `document_*.py`: the transfer of the configuration as a document, in chunks;
-- `node_standing.py`: the depth and contact state of this node; `push_receivers.py`: the receivers of pushes;
+- `node_status.py`: the depth and contact state of this node; `push_receivers.py`: the receivers of pushes;
 - `messages.py`, `document_messages.py`, `parameters.py`, `outbox.py`: message types, intervals and limits, send order.
 """
--- a/tests/distribution/test_soft_state_explorer.py
+++ b/tests/distribution/test_soft_state_explorer.py
@@ -265,7 +265,7 @@
         (walk_faults.a_control_is_cut_from_the_others,),
     ),
     "older versions accepted": PlantedFault(
-        (patch_attribute(ItemTable, "_take", accept_any_version),),
+        (patch_attribute(ItemTable, "_store", accept_any_version),),
         AdoptionWentBackError,
     ),
     "delta without removals and digest unchecked": PlantedFault(
