--- a/canvasbeam/admin/maintenance.py
+++ b/canvasbeam/admin/maintenance.py
@@ -1,9 +1,10 @@
-"""Maintenance mode: which workers are in it, the answer to each request of an operator, and what follows.
+"""State machine of maintenance mode: the workers in it, and the answer and actions for each operator's request.
 
-Pure: events and the time in whole nanoseconds in, actions out; no I/O and no clock. It owns the set of workers in
-maintenance mode and the time at which each entered. It must never decide which worker gets a client's request.
+Pure: its inputs are events and the time in whole nanoseconds, its outputs are actions; it does no I/O and reads no
+clock. It owns the set of workers in maintenance mode and the time at which each worker entered. It must never decide
+which worker gets a client's request.
 
-For each worker there are two states, and these transitions:
+Each worker has two states, with these transitions:
 
     state           event                               next state      actions
     in service      EnterRequestedEvent, known          in maintenance  Drain, Persist, Answer(accepted)
@@ -15,9 +16,10 @@
     in maintenance  SetReplacedEvent without it         in service      Reinstate
 
 Maintenance mode is a set, not a count, so two requests to enter it need one request to leave it. A worker that is
-neither in the endpoint list nor in maintenance mode is unknown. A worker that leaves maintenance mode counts as started
-when the list says it last started, if that was after it entered; otherwise as started now: operators restart workers
-during maintenance, so its caches are cold, and a restart that discovery has not reported yet is still taken for one.
+neither in the endpoint list nor in maintenance mode is unknown. Operators restart workers during maintenance, so a
+worker that leaves maintenance mode is treated as restarted, with cold caches: its start time is the one in the endpoint
+list if that is later than its entry, and otherwise the current time, because discovery may not have reported the
+restart yet.
 """
 
 from __future__ import annotations
@@ -28,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkersListedEvent:
-    """The endpoint list as it is now: the workers by name, and when each last started where the list says so (ns)."""
+    """The current endpoint list: the workers' names, and their last start times in nanoseconds where known."""
 
     workers: frozenset[str]
     starts_ns: Mapping[str, int] = field(default_factory=dict)
@@ -36,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EnterRequestedEvent:
-    """An operator asks to put a worker into maintenance mode; `request_id` is repeated in the answer."""
+    """An operator's request to put a worker into maintenance mode; the answer repeats `request_id`."""
 
     worker: str
     request_id: int = 0
@@ -44,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveRequestedEvent:
-    """An operator asks to take a worker out of maintenance mode; `request_id` is repeated in the answer."""
+    """An operator's request to take a worker out of maintenance mode; the answer repeats `request_id`."""
 
     worker: str
     request_id: int = 0
@@ -52,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetReplacedEvent:
-    """Another process of this scheduler stored the set: these are all workers in maintenance mode."""
+    """The complete set of workers in maintenance mode, as stored by another process of this scheduler."""
 
     workers: frozenset[str]
 
@@ -62,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Answer an operator's request; a request about an unknown worker is rejected."""
+    """Answer to an operator's request; a request about an unknown worker is rejected."""
 
     request_id: int
     is_accepted: bool
@@ -70,14 +72,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """Count the worker as draining from now on, whatever discovery says."""
+    """Action: treat the worker as draining from now on, whatever state discovery reports."""
 
     worker: str
 
 
 @dataclass(frozen=True, slots=True)
 class Reinstate:
-    """Send the worker requests again, as a process that started at `started_ns`."""
+    """Action: send requests to the worker again, and treat it as a process started at `started_ns`."""
 
     worker: str
     started_ns: int
@@ -85,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Store the set for the other processes of this scheduler."""
+    """Action: store the set of workers in maintenance mode for the other processes of this scheduler."""
 
     workers: frozenset[str]
 
@@ -96,7 +98,7 @@
 class MaintenanceRegister:
     """The set of workers in maintenance mode, for one scheduler.
 
-    It owns the time at which each of them entered, and the endpoint list as last told.
+    The register owns the time at which each worker entered, and the endpoint list of the last WorkersListedEvent.
     """
 
     def __init__(self) -> None:
@@ -106,11 +108,11 @@
 
     @property
     def workers(self) -> frozenset[str]:
-        """The workers in maintenance mode now."""
+        """The workers currently in maintenance mode."""
         return frozenset(self._entered_ns)
 
     def handle(self, now_ns: int, events: list[Event]) -> list[Action]:
-        """Apply the events in order; return the actions in the order in which they are to be carried out."""
+        """Apply the events in order; return the actions in the order in which the caller must execute them."""
         actions: list[Action] = []
         for event in events:
             match event:
@@ -125,11 +127,11 @@
         return actions
 
     def _is_known(self, worker: str) -> bool:
-        """Return whether the worker is listed or in maintenance mode."""
+        """Return True if the worker is in the endpoint list or in maintenance mode."""
         return worker in self._listed or worker in self._entered_ns
 
     def _enter(self, now_ns: int, worker: str, request_id: int) -> list[Action]:
-        """Put a worker into maintenance mode."""
+        """Put a worker into maintenance mode and return the resulting actions."""
         if not self._is_known(worker):
             return [Answer(request_id, False)]
         if worker in self._entered_ns:
@@ -138,13 +140,13 @@
         return [Drain(worker), Persist(self.workers), Answer(request_id, True)]
 
     def _leave(self, now_ns: int, worker: str, request_id: int) -> list[Action]:
-        """Take a worker out of maintenance mode."""
+        """Take a worker out of maintenance mode and return the resulting actions."""
         if worker not in self._entered_ns:
             return [Answer(request_id, self._is_known(worker))]
         return [self._reinstate(now_ns, worker), Persist(self.workers), Answer(request_id, True)]
 
     def _replace(self, now_ns: int, workers: frozenset[str]) -> list[Action]:
-        """Make these the workers in maintenance mode; nothing is persisted, since the set was read from there."""
+        """Replace the set of workers in maintenance mode; without Persist, as the set comes from the stored file."""
         entering = sorted(workers - self.workers)
         returning = sorted(self.workers - workers)
         actions: list[Action] = [Drain(worker) for worker in entering]
@@ -153,7 +155,7 @@
         return actions
 
     def _reinstate(self, now_ns: int, worker: str) -> Reinstate:
-        """Take a worker out of the set; a start reported after it entered is its restart, else the restart is now."""
+        """Remove a worker from the set; its start time is the reported one if later than its entry, else `now_ns`."""
         entered_ns = self._entered_ns.pop(worker)
         started_ns = self._starts_ns.get(worker, 0)
         return Reinstate(worker, started_ns if started_ns >= entered_ns else now_ns)
--- a/canvasbeam/admin/operations.py
+++ b/canvasbeam/admin/operations.py
@@ -1,8 +1,8 @@
-"""The requests of operators, carried out on the running scheduler.
+"""Executes operators' requests on the running scheduler.
 
-It owns what the management address answers, read from the parts that count where things happen, and carries out the
-actions of `canvasbeam/admin/maintenance.py`. It must never touch a socket, never decide which worker gets a client's
-request, and never estimate a figure that is not counted.
+The module supplies the data that the management address returns, read from the counters of the components concerned,
+and executes the actions of `canvasbeam/admin/maintenance.py`. It must never use a socket, never decide which worker
+gets a client's request, and never report an estimate in place of a counted figure.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 from canvasbeam.scheduler.listener import Listener
 from canvasbeam.scheduler.request_coordinator import RequestCoordinator
 
-HANDOVER_POLL_INTERVAL = seconds(0.1)  # a request to another process takes effect here within this
+HANDOVER_POLL_INTERVAL = seconds(0.1)  # maximum delay until a request made to another process applies here
 
 
 class SchedulerOperations:
-    """The operations of the management address, on one scheduler.
+    """Implements the operations of the management address for one scheduler.
 
-    It owns the register of workers in maintenance mode and the polling of the file shared with other processes.
+    The object owns the register of workers in maintenance mode, and polls the file shared with other processes.
     """
 
     def __init__(
@@ -53,11 +53,11 @@
             self._poll_handover(handover)
 
     def can_serve(self) -> bool:
-        """Return whether there is a live worker to send to, and no planned shutdown has begun."""
+        """Return True if at least one live worker can get requests and no planned shutdown has begun."""
         return self._listener.is_ready
 
     def figures(self) -> JsonObject:
-        """Return the counters and gauges as they are in this pass of the loop; `/stats` has these keys."""
+        """Return the counters and gauges of this pass of the event loop, under the keys of `/stats`."""
         coordinator = self._coordinator
         return {
             "downstream_requests": {name: dict(counts) for name, counts in coordinator.by_class.items()},
@@ -68,38 +68,38 @@
         }
 
     def peers(self) -> JsonObject | None:
-        """Return the membership of the fleet, None where this scheduler has no peers."""
+        """Return the membership of the fleet, or None if this scheduler has no peers."""
         return None if self._peers is None else self._peers()
 
     def enter_maintenance(self, worker: str) -> bool:
-        """Put a worker into maintenance mode from this pass on; return False where it is unknown."""
+        """Put a worker into maintenance mode from this pass of the loop on; return False if the worker is unknown."""
         return self._request(EnterRequestedEvent(worker))
 
     def leave_maintenance(self, worker: str) -> bool:
-        """Take a worker out of maintenance mode, its caches cold; return False where it is unknown."""
+        """Take a worker out of maintenance mode, with cold caches; return False if the worker is unknown."""
         return self._request(LeaveRequestedEvent(worker))
 
     def _request(self, request: EnterRequestedEvent | LeaveRequestedEvent) -> bool:
-        """Carry out an operator's request; return whether it was accepted."""
+        """Execute an operator's request; return True if the request was accepted."""
         actions = self._carry_out([self._workers_listed(), request])
         answers = [action for action in actions if isinstance(action, Answer)]
         return answers[-1].is_accepted
 
     def _poll_handover(self, handover: Handover) -> None:
-        """Take over what operators asked of another process of this scheduler, and poll again later."""
+        """Apply a changed set from the shared file, written by another process, and schedule the next poll."""
         workers = handover.read_if_changed()
         if workers is not None:
             self._carry_out([self._workers_listed(), SetReplacedEvent(workers)])
         self._coordinator.loop.after(HANDOVER_POLL_INTERVAL, lambda: self._poll_handover(handover))
 
     def _workers_listed(self) -> WorkersListedEvent:
-        """Return the current endpoint list, with the starts that it names on the loop's clock."""
+        """Return the current endpoint list as an event, with the known start times on the loop's clock."""
         workers = self._coordinator.workers.values()
         starts_ns = {worker.name: nanoseconds(worker.started) for worker in workers if worker.started is not None}
         return WorkersListedEvent(frozenset(self._coordinator.workers), starts_ns)
 
     def _carry_out(self, events: list[Event]) -> list[Action]:
-        """Hand the events to the register, carry out its actions and return them."""
+        """Pass the events to the register, execute the resulting actions and return them."""
         loop = self._coordinator.loop
         actions = self._register.handle(nanoseconds(loop.now), events)
         for action in actions:
--- a/canvasbeam/admin/routes.py
+++ b/canvasbeam/admin/routes.py
@@ -1,8 +1,9 @@
-"""From the method and path of an operator's request to the whole HTTP response.
+"""Maps the method and path of an operator's request to the complete HTTP response.
 
-It owns the paths (`GET /healthcheck`, `GET /stats`, `GET /peers`, `POST /workers/ID/maint`, `POST /workers/ID/ready`),
-their methods and the format of the responses; what a request does is decided by `Operations`. It must never touch a
-socket. The words of the responses are read by operators' tools and stay as they are ("call" there is a request).
+The module owns the paths (`GET /healthcheck`, `GET /stats`, `GET /peers`, `POST /workers/ID/maint`,
+`POST /workers/ID/ready`), their methods and the response formats; `Operations` implements the effect of each request.
+The module must never use a socket. Response texts must not change, because operators' tools read these texts; the word
+"call" in a response text means a request.
 """
 
 from __future__ import annotations
@@ -15,37 +16,37 @@
 
 from canvasbeam.scheduler.http_responses import head_only, response, text_response
 
-JsonObject = dict[str, Any]  # the value of a key is whatever JSON can say
+JsonObject = dict[str, Any]  # values: any JSON type
 HEALTH_PATH, STATS_PATH, PEERS_PATH, WORKERS_PREFIX = b"/healthcheck", b"/stats", b"/peers", b"/workers/"
 MAX_WORKER_ID_CHARACTERS = 256
 
 
 class Operations(Protocol):
-    """What the requests do; each operation returns at once."""
+    """Operations behind the paths of the management address; every operation returns without blocking."""
 
     def can_serve(self) -> bool:
-        """Return whether this process can serve clients now."""
+        """Return True if this process can currently serve clients."""
 
     def figures(self) -> JsonObject:
-        """Return counters and gauges."""
+        """Return the counters and gauges for `/stats`."""
 
     def peers(self) -> JsonObject | None:
-        """Return the membership of the fleet, None where there are no peers."""
+        """Return the membership of the fleet, or None if this scheduler has no peers."""
 
     def enter_maintenance(self, worker: str) -> bool:
-        """Put a worker into maintenance mode; return False where it is unknown."""
+        """Put a worker into maintenance mode; return False if the worker is unknown."""
 
     def leave_maintenance(self, worker: str) -> bool:
-        """Take a worker out of maintenance mode; return False where it is unknown."""
+        """Take a worker out of maintenance mode; return False if the worker is unknown."""
 
 
 def plain_response(status: HTTPStatus, reason: str, extra: str = "") -> bytes:
-    """Return a short response in plain text, after which the connection ends; `extra` holds whole header lines."""
+    """Return a plain-text response with `Connection: close`; `extra` holds complete header lines."""
     return text_response(status, reason, True, extra)
 
 
 def respond(operations: Operations, method: bytes, path: bytes) -> bytes:
-    """Carry out a request, and return its whole response; `path` is without a query."""
+    """Execute a request and return the complete HTTP response; `path` has no query string."""
     if path == HEALTH_PATH:
         return _respond_if(method, b"GET", lambda: _health_response(operations.can_serve()))
     if path == STATS_PATH:
@@ -58,7 +59,7 @@
 
 
 def _respond_for_worker(operations: Operations, method: bytes, rest: bytes) -> bytes:
-    """Carry out a request about one worker; `rest` is the path after the prefix."""
+    """Execute a request about one worker; `rest` is the path after `/workers/`."""
     worker, slash, verb = rest.rpartition(b"/")
     name = unquote(worker.decode("latin-1"))
     if not slash or verb not in (b"maint", b"ready") or not 0 < len(name) <= MAX_WORKER_ID_CHARACTERS or "/" in name:
@@ -68,7 +69,7 @@
 
 
 def _respond_if(method: bytes, allowed: bytes, operation: Callable[[], bytes]) -> bytes:
-    """Return the operation's response where the method is the allowed one; HEAD goes where GET does."""
+    """Return the operation's response if the method is allowed, else 405; HEAD is allowed wherever GET is."""
     if method != allowed and not (allowed == b"GET" and method == b"HEAD"):
         allow_header = f"Allow: {allowed.decode()}\r\n"
         return plain_response(HTTPStatus.METHOD_NOT_ALLOWED, "not by this method", allow_header)
--- a/canvasbeam/admin/server.py
+++ b/canvasbeam/admin/server.py
@@ -1,8 +1,8 @@
-"""The management address: its listening socket and its connections.
+"""HTTP server of the management address: the listening socket and its connections.
 
-It owns the connections of operators and their tools, each for one request (HTTP/1.1, RFC 9112, parsed by httptools);
-`canvasbeam/admin/routes.py` gives the response. This module must never take a body, never hold more connections or
-bytes than its own limits allow, and never let a silent caller keep another one out.
+The module owns the connections of operators and their tools, each of which carries one request (HTTP/1.1, RFC 9112,
+parsed by httptools); `canvasbeam/admin/routes.py` builds the response. The server must never accept a request body,
+never hold more connections or bytes than its own limits allow, and never let an idle client block another client.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 
 class ManagementListener(Endpoint):
-    """Accepts callers on the management address; it owns the table of their connections."""
+    """Accepts connections on the management address and owns the table of open connections."""
 
-    rank = 0  # read before anything else in a pass
+    rank = 0  # highest priority: served before other sockets in a pass of the loop
 
     def __init__(self, loop: Loop, limits: Limits, operations: Operations, sock: socket.socket) -> None:
         super().__init__(loop, sock)
@@ -35,13 +35,13 @@
 
     @classmethod
     def bind(cls, loop: Loop, limits: Limits, operations: Operations, address: tuple[str, int]) -> ManagementListener:
-        """Return a listener on this address alone; OSError where it cannot be bound."""
+        """Return a listener bound to this address only; raise OSError if the address cannot be bound."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         sock = socket.create_server(address, family=family, backlog=limits.mgmt_backlog)
         return cls(loop, limits, operations, sock)
 
     def on_event(self, mask: int) -> None:
-        """Accept the callers that are waiting, at most a backlog of them in one pass."""
+        """Accept pending connections, at most `mgmt_backlog` in one pass of the loop."""
         for _ in range(self.limits.mgmt_backlog):
             if len(self.connections) >= self.limits.mgmt_connections and not self._close_one():
                 return
@@ -50,15 +50,15 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
-                log.warning("the management address cannot accept: %s", error)
+                log.warning("accept on the management address failed: %s", error)
                 return
             ManagementConnection(self, sock)
 
     def _close_one(self) -> bool:
-        """Close one connection to make room for the next; return False where there is none.
+        """Close one connection to make room for a new one; return False if no connection is open.
 
-        Guards the table against callers that hold a connection and send nothing: first goes one that has its response,
-        then the one that has waited longest without a complete request.
+        Without this, clients that hold connections and send nothing would fill the table. Connections that already
+        have their response are closed first, then the connection that has been open longest without a response.
         """
         in_order = sorted(self.connections.values(), key=lambda connection: (not connection.answered, connection.since))
         if not in_order:
@@ -67,18 +67,18 @@
         return True
 
     def on_failure(self) -> None:
-        """Keep listening: a failed accept must not end the listener."""
+        """Keep the listener open: a failure while accepting must not close the listening socket."""
 
     def remove(self, connection: ManagementConnection) -> None:
-        """Take a closed connection out of the table."""
+        """Remove a closed connection from the table."""
         self.connections.pop(connection.handle, None)
 
 
 class ManagementConnection(Stream):
-    """One request and its response.
+    """Connection that carries one request and its response.
 
-    It owns the parser, which calls `on_url`, `on_headers_complete`, `on_body` and `on_message_complete`, and the one
-    deadline: for the complete request, and after the response for the caller's end.
+    The connection owns the parser, which calls `on_url`, `on_headers_complete`, `on_body` and `on_message_complete`,
+    and a single deadline: first for receiving the complete request, and after the response for the client's close.
     """
 
     rank = 0
@@ -88,9 +88,9 @@
         self._limits = owner.limits
         super().__init__(owner.loop, sock, owner.limits.mgmt_head)
         owner.connections[self.handle] = self
-        self.since = self.loop.now  # of the connection, or of the response once there is one
+        self.since = self.loop.now  # time of the connection's start, or of the response once written
         self.answered = False
-        self._parser: Any = httptools.HttpRequestParser(self)  # httptools has no types
+        self._parser: Any = httptools.HttpRequestParser(self)  # httptools has no type annotations
         self._url = b""
         self._received_bytes = 0
         self._has_body = False
@@ -100,7 +100,7 @@
     # --- reading ----------------------------------------------------------------------------------
 
     def on_data(self, data: bytes) -> None:
-        """Parse what came, and answer what cannot be parsed; after the response nothing more is read."""
+        """Parse received bytes and reject malformed or oversized requests; ignore data after the response."""
         if self.answered:
             return
         self._received_bytes += len(data)
@@ -114,22 +114,22 @@
             self._answer(plain_response(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the call's head is too long"))
 
     def on_url(self, url: bytes) -> None:
-        """Collect a part of the request's target, from the parser."""
+        """Parser callback: append a fragment of the request target."""
         self._url += url
 
     def on_headers_complete(self) -> None:
-        """Note the end of the head, from the parser, and reject another version of HTTP."""
+        """Parser callback: record the end of the request headers, and reject HTTP versions other than 1.0 and 1.1."""
         self._is_head_complete = True
         if self._parser.get_http_version() not in ("1.0", "1.1"):
             self._answer(plain_response(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 is spoken here"))
 
     def on_body(self, data: bytes) -> None:
-        """Note a part of a body, from the parser: no request here has one."""
+        """Parser callback: record that the request has a body, which no management request may have."""
         if data:
             self._has_body = True
 
     def on_message_complete(self) -> None:
-        """Answer the complete request, from the parser."""
+        """Parser callback: respond to the complete request."""
         if self.answered:
             return
         if self._has_body:
@@ -139,13 +139,13 @@
         try:
             self._answer(respond(self._owner.operations, method, self._url.partition(b"?")[0]))
         except Exception:
-            log.exception("a request on the management address failed")
+            log.exception("request on the management address failed")
             self._answer(plain_response(HTTPStatus.INTERNAL_SERVER_ERROR, "the call failed"))
 
     # --- answering --------------------------------------------------------------------------------
 
     def _answer(self, response: bytes) -> None:
-        """Write the one response, and give the caller a limited time to end the connection."""
+        """Write the connection's only response, and close the connection after `mgmt_linger` if the client has not."""
         if self.answered or self.closed:
             return
         self.answered = True
@@ -155,7 +155,7 @@
         self.write(response)
 
     def on_written(self) -> None:
-        """End the sending side once the whole response is written."""
+        """Shut down the sending side once the complete response is written."""
         if self.answered and not self.closed:
             try:
                 self.sock.shutdown(socket.SHUT_WR)
@@ -163,14 +163,14 @@
                 self.close()
 
     def _on_deadline(self) -> None:
-        """End a connection whose caller sent nothing, or only a part of a request, in time."""
+        """Close the connection if nothing was received by the deadline; respond with 408 to an incomplete request."""
         if self._received_bytes:
             self._answer(plain_response(HTTPStatus.REQUEST_TIMEOUT, "the call did not come whole in time"))
         else:
             self.close()
 
     def close(self) -> None:
-        """Close the connection and leave the listener's table."""
+        """Close the connection and remove it from the listener's table."""
         if not self.closed:
             super().close()
             self.loop.cancel(self._deadline)
--- a/canvasbeam/gossip/__init__.py
+++ b/canvasbeam/gossip/__init__.py
@@ -1,9 +1,9 @@
-"""Datagrams between schedulers in service that know each other.
+"""UDP transport of the gossip protocol between schedulers of one fleet.
 
-It owns the UDP socket, the bytes of a datagram, the rates, and the operators' file on peers. It must never decide who
-is a member: that is `failure_detection/swim/`, which it drives.
+The package owns the UDP socket, the datagram format, the rate limits, and the operators' settings file for peers. It
+must never decide which instances are members, because `failure_detection/swim/`, which this package drives, does that.
 
-Where to start reading: `datagram_node.py` has `PeerNode`, which the scheduler starts, and `GossipNode`, the socket on
-its loop. `codec.py` translates datagrams, `rate_limits.py` bounds them, `settings.py` reads the operators' file,
-`report.py` answers who is there, and `change_log.py` logs changes of members.
+Suggested reading order: `datagram_node.py` has `PeerNode`, which the scheduler starts, and `GossipNode`, the socket on
+the scheduler's event loop. `codec.py` encodes and decodes datagrams, `rate_limits.py` limits the rate of datagrams,
+`settings.py` reads the settings file, `report.py` builds the membership report, and `change_log.py` logs changes.
 """
--- a/canvasbeam/gossip/change_log.py
+++ b/canvasbeam/gossip/change_log.py
@@ -1,4 +1,4 @@
-"""The log's lines on changes of members, bounded in a storm."""
+"""Rate-limited logging of member status changes, so that many changes at once cannot flood the log."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class ChangeLog:
-    """Logs changes of members; those beyond the rate are counted, and the next line is preceded by their number."""
+    """Logs member changes at up to MAX_LINES_PER_S; the count of suppressed changes precedes the next logged one."""
 
     def __init__(self, now: int) -> None:
         self._rate_limit = TokenBucket(MAX_LINES_PER_S, now)
         self._suppressed = 0
 
     def report(self, change: ReportChange, now: int) -> None:
-        """Log a change, or count it."""
+        """Log a member change, or count it as suppressed if over the rate limit; `now` is in nanoseconds."""
         if not self._rate_limit.admit(now):
             self._suppressed += 1
             return
--- a/canvasbeam/gossip/codec.py
+++ b/canvasbeam/gossip/codec.py
@@ -1,10 +1,12 @@
-"""The bytes of a datagram: what goes out, and what of what comes in is let through.
+"""Encoding, decoding and validation of gossip datagrams.
 
-It owns the envelope (version, fleet, sender, its process's start, incarnation, number) in msgspec's MessagePack, the
-window that drops replays, and the counts of what was dropped and why. It must never raise over what came in, never
-take longer over a bad datagram than over a good one, and never judge a member.
+The module owns the envelope (version, fleet, sender, start of the sender's process, incarnation, sequence number),
+encoded as MessagePack by msgspec, the replay windows, and the counts of dropped datagrams by reason. It must never
+raise an exception on received bytes, never spend more time on an invalid datagram than on a valid one, and never decide
+the status of a member.
 
-The envelope and its rows are arrays on the wire: the order and the numbers count, the names here do not.
+The envelope and its update rows are arrays on the wire, so peers depend on the order of fields and on the numeric
+values; field names are local to this module.
 """
 
 from __future__ import annotations
@@ -23,8 +25,8 @@
 MAGIC = b"cbp"
 PREFIX = MAGIC + bytes([VERSION])
 MAX_DATAGRAM_BYTES = 1_200
-REPLAY_WINDOW = 64  # numbers below the highest of a process that are still told apart
-# A start counts milliseconds; a clock would have to be wrong by a hundred thousand years.
+REPLAY_WINDOW = 64  # sequence numbers: the highest received of a process, and the 63 below it
+# Start time of a process in milliseconds; a clock would exceed the limit only if wrong by a hundred thousand years.
 Start = Annotated[int, msgspec.Meta(ge=0, le=1 << 52)]
 Uint32 = Annotated[int, msgspec.Meta(ge=0, le=(1 << 32) - 1)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
@@ -32,7 +34,7 @@
 
 
 class DropReason(Enum):
-    """Why a datagram was dropped. The values are keys of the report's JSON and stay."""
+    """Reason why a datagram was dropped; the values must not change, because they are keys in the JSON report."""
 
     MALFORMED = "garbled"
     OTHER_VERSION = "version"
@@ -45,7 +47,7 @@
 
 
 class UpdateRow(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """A `MemberUpdate` on the wire."""
+    """Wire format of a `MemberUpdate`."""
 
     name: Name
     address: ShortText
@@ -56,15 +58,15 @@
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """A complete datagram after its prefix."""
+    """Wire format of a datagram after PREFIX."""
 
     fleet: Name
     sender: Name
     start: Start
     incarnation: Uint32
-    sequence: Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]  # one up for each datagram that this process sends
+    sequence: Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]  # incremented for each datagram that the process sends
     kind: Annotated[int, msgspec.Meta(ge=0, le=4)]
-    number: Uint32  # of the ping that it is, answers or asks for
+    number: Uint32  # ping number: of this ping, of the acknowledged ping, or of the ping request
     target: ShortText
     address: ShortText
     updates: tuple[UpdateRow, ...]
@@ -76,13 +78,13 @@
 
 @dataclass(slots=True)
 class ReplayWindow:
-    """The sequence numbers of one process that came, as IPsec keeps them (RFC 4303, 3.4.3)."""
+    """Sliding window over the sequence numbers received from one process, as in IPsec (RFC 4303, section 3.4.3)."""
 
     highest: int
-    bits: int = 1  # of the highest and the REPLAY_WINDOW - 1 below it
+    bits: int = 1  # bitmap of received numbers: bit 0 is `highest`, bit n is `highest` - n
 
     def accept(self, sequence: int) -> bool:
-        """Whether this number is new; it is remembered then."""
+        """Return True and record the sequence number if it is new; False for a duplicate or one below the window."""
         ahead = sequence - self.highest
         if ahead > 0:
             self.bits = (self.bits << min(ahead, REPLAY_WINDOW) | 1) & (1 << REPLAY_WINDOW) - 1
@@ -96,7 +98,7 @@
 
 
 class Codec:
-    """Bytes of one instance's datagrams, out and in."""
+    """Encodes and decodes the datagrams of one instance, and counts dropped datagrams by reason."""
 
     def __init__(self, fleet: str, max_senders: int) -> None:
         self.fleet = fleet
@@ -106,7 +108,7 @@
         self._windows: dict[tuple[str, int], ReplayWindow] = {}
 
     def encode(self, sender: Sender, datagram: Datagram) -> bytes | None:
-        """Return a datagram's bytes; None where they would be too many, which is counted."""
+        """Return the encoded datagram; count the datagram and return None if over MAX_DATAGRAM_BYTES."""
         self._sequence += 1
         data = PREFIX + _encoder.encode(
             (
@@ -138,7 +140,7 @@
         return data
 
     def decode(self, data: bytes, address: str) -> DatagramReceived | None:
-        """Return what came from an address; None where it was dropped, which is counted."""
+        """Return the event for a datagram received from `address`; count the drop and return None if invalid."""
         envelope = self._unpack(data)
         if isinstance(envelope, DropReason):
             self.dropped[envelope] += 1
@@ -169,9 +171,10 @@
         return envelope if is_new else DropReason.REPLAYED
 
     def _accept(self, process: tuple[str, int], sequence: int) -> bool:
-        """Whether this datagram of a process is no replay.
+        """Return True if the sequence number is new for this process, and record the number.
 
-        Bounds the memory that forged names can take: the process of the longest ago is dropped.
+        Drops the window of the least recently received process beyond `max_senders`, because forged sender names could
+        otherwise use unbounded memory.
         """
         window = self._windows.pop(process, None)
         is_new = window is None or window.accept(sequence)
--- a/canvasbeam/gossip/datagram_node.py
+++ b/canvasbeam/gossip/datagram_node.py
@@ -1,9 +1,9 @@
-"""The UDP socket between this instance and its peers, on the program's loop.
+"""UDP socket through which this instance exchanges gossip datagrams with its peers, on the scheduler's event loop.
 
-It owns the socket, the datagrams' rates, the deadline at which the membership wants the time, and the wait for the
-address while an older process still has it. It must never decide who is a member, never send to or take from an address
-outside the networks named, never read more in a pass than it was allowed, and never let a failure here end anything but
-a datagram.
+The module owns the socket, the rate limits, the timer for the membership's next deadline, and the bind retries while an
+older process still uses the address. It must never decide which instances are members, never send to or accept
+datagrams from an address outside the configured networks, and never read more than MAX_READS_PER_PASS datagrams in a
+pass of the loop. A failure in this module must never affect more than the datagram concerned.
 """
 
 from __future__ import annotations
@@ -35,14 +35,14 @@
 log = logging.getLogger(__name__)
 
 MAX_READS_PER_PASS = 32
-BIND_RETRY_DELAY = seconds(0.2)  # while an older process of this name still has the address
-CLOSE_DELAY = seconds(0.3)  # from the announcement of a planned shutdown to the socket's close
+BIND_RETRY_DELAY = seconds(0.2)  # retry interval while an older process of the same name still uses the address
+CLOSE_DELAY = seconds(0.3)  # delay between announcing a planned shutdown and closing the socket
 
 
 class GossipNode(Endpoint):
-    """This instance's membership, driven by datagrams and time: bytes in and out, actions carried out."""
+    """Passes received datagrams and timer events to this instance's membership, and executes its actions."""
 
-    rank = 9  # after discovery, targets and clients: a storm of datagrams must not hold up a request
+    rank = 9  # served after discovery, targets and clients, so that a flood of datagrams cannot delay a request
 
     def __init__(self, loop: Loop, sock: socket.socket, peers: PeerSettings, name: str, start_ms: int) -> None:
         super().__init__(loop, sock)
@@ -64,7 +64,7 @@
 
     @classmethod
     def bind(cls, loop: Loop, peers: PeerSettings, name: str, start_ms: int) -> GossipNode:
-        """Listen where the file says; raises OSError where that is not possible."""
+        """Return a node bound to the listen address of the settings; raise OSError if the address cannot be bound."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             sock.bind(address_of(peers.listen or peers.address))
@@ -74,14 +74,14 @@
         return cls(loop, sock, peers, name, start_ms)
 
     def on_event(self, mask: int) -> None:
-        """Take what has come, a bounded number in a pass, and decide on it together."""
+        """Read up to MAX_READS_PER_PASS datagrams, and pass all valid ones to the membership in one call."""
         events: list[Event] = []
         for _ in range(MAX_READS_PER_PASS):
             try:
                 data, source = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 break
-            except OSError:  # an earlier datagram's receiver was not there
+            except OSError:  # delivery error of an earlier sent datagram: its receiver was unreachable
                 continue
             event = self._read(data, f"{source[0]}:{source[1]}")
             if event is not None:
@@ -104,7 +104,7 @@
         return event
 
     def leave(self) -> None:
-        """Announce the planned shutdown."""
+        """Announce the planned shutdown to the other members."""
         if not self.closed:
             self._handle([LeaveRequested()])
 
@@ -144,17 +144,17 @@
         self.sent["bytes"] += len(data)
 
     def on_failure(self) -> None:
-        """Go on after a datagram that could not be handled: it ends nothing, and time comes again."""
+        """Keep the socket open after a failure, and schedule the membership timer again after `gossip_interval`."""
         self.loop.cancel(self._deadline)
         self._deadline = self.loop.after(span_of(self.members.parameters.gossip_interval), self._on_time, self)
 
     def report(self) -> Report:
-        """Return who is there and what was dropped, for operators."""
+        """Return the membership and the datagram counts, for operators."""
         return report_of(self.members, nanoseconds(self.loop.now), self.sent, self.received, self.codec.dropped)
 
 
 class PeerNode:
-    """This instance among its peers: a `GossipNode` once the address is free, and none after a planned shutdown."""
+    """Owns this instance's `GossipNode`: creates the node once the address is free, and closes it at shutdown."""
 
     def __init__(self, loop: Loop, peers: PeerSettings, name: str, start_ms: int) -> None:
         self._loop = loop
@@ -165,7 +165,7 @@
         self._bind()
 
     def _bind(self) -> None:
-        """Take the address, or retry later: an upgrade starts the next process beside this one, with the same file."""
+        """Bind the address; retry later if it is in use, as in an upgrade, where the old process still has it."""
         if self._is_leaving:
             return
         address = self._peers.listen or self._peers.address
@@ -174,21 +174,23 @@
         except OSError as error:
             if error.errno != errno.EADDRINUSE:
                 raise
-            log.info("the peers' address %s is in use: retrying until it is free", address)
+            log.info("gossip address in use, retrying: address=%s", address)
             self._loop.after(BIND_RETRY_DELAY, self._bind)
             return
         seed_count = len(self._peers.seeds)
-        log.info("peers: %s of fleet %s on %s, %d seeds", self._name, self._peers.fleet, address, seed_count)
+        log.info(
+            "gossip started: name=%s fleet=%s address=%s seeds=%d", self._name, self._peers.fleet, address, seed_count
+        )
 
     def leave(self) -> None:
-        """Announce the planned shutdown; the address is free a moment later."""
+        """Announce the planned shutdown, and close the socket after CLOSE_DELAY, which frees the address."""
         self._is_leaving = True
         if self.node is not None:
             self.node.leave()
             self._loop.after(CLOSE_DELAY, self.node.close, self.node)
 
     def report(self) -> Report:
-        """Return the node's report; while there is none, why."""
+        """Return the node's report, or a report that this instance is waiting for its address."""
         if self.node is None:
             return report_without_address(self._name, self._peers.address)
         return self.node.report()
--- a/canvasbeam/gossip/rate_limits.py
+++ b/canvasbeam/gossip/rate_limits.py
@@ -1,18 +1,18 @@
-"""How many datagrams a second are let through, in sum and of each source.
+"""Token buckets that limit datagrams per second, in total and per source.
 
-Pure: the time in whole nanoseconds in, yes or no out. It must never keep more sources than it was allowed.
+Pure: callers pass the time in whole nanoseconds. The number of sources kept must never exceed the configured maximum.
 """
 
 from __future__ import annotations
 
 from canvasbeam.units import SECOND
 
-MIN_BURST = 10.0  # datagrams that are let through at once, at least
-BURST_S = 0.25  # and as many as the rate gives in so many seconds
+MIN_BURST = 10.0  # datagrams; lower bound of a bucket's burst size
+BURST_S = 0.25  # seconds; the burst size is the rate times BURST_S, and at least MIN_BURST
 
 
 class TokenBucket:
-    """A token bucket: a rate in datagrams a second, and a bounded burst."""
+    """Token bucket with a rate in datagrams per second and a limited burst; initially full."""
 
     __slots__ = ("_burst", "_filled_at", "_rate", "_tokens")
 
@@ -23,7 +23,7 @@
         self._filled_at = now
 
     def admit(self, now: int) -> bool:
-        """Whether one more passes now; it is counted then."""
+        """Return True and consume a token if a datagram may pass at time `now` (nanoseconds)."""
         self._tokens = min(self._burst, self._tokens + (now - self._filled_at) * self._rate / SECOND)
         self._filled_at = now
         if self._tokens < 1:
@@ -33,7 +33,7 @@
 
 
 class SourceRateLimits:
-    """A token bucket for each source; the source of the longest ago is dropped for a new one."""
+    """One token bucket per source; a new source beyond the maximum evicts the least recently used one."""
 
     def __init__(self, rate_per_s: int, max_sources: int) -> None:
         self._rate_per_s = rate_per_s
@@ -41,7 +41,7 @@
         self._buckets: dict[str, TokenBucket] = {}
 
     def admit(self, source: str, now: int) -> bool:
-        """Whether one more of this source passes now; it is counted then."""
+        """Return True and consume a token of the source if its datagram may pass at time `now` (nanoseconds)."""
         bucket = self._buckets.pop(source, None) or TokenBucket(self._rate_per_s, now)
         self._buckets[source] = bucket
         if len(self._buckets) > self._max_sources:
--- a/canvasbeam/gossip/report.py
+++ b/canvasbeam/gossip/report.py
@@ -1,6 +1,6 @@
-"""The answer to operators who ask which peers there are, in JSON's types; ages are in seconds.
+"""Membership report for operators, as JSON-compatible values; ages are in seconds.
 
-The keys are those of the management address and stay; this module alone translates to them.
+The keys must not change, because `GET /peers` on the management address returns them; only this module uses these keys.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from canvasbeam.gossip.codec import DropReason
 from canvasbeam.units import SECOND
 
-Report = dict[str, Any]  # JSON: values of several types by key
+Report = dict[str, Any]  # a JSON object
 
 
 def report_of(
@@ -23,7 +23,7 @@
     received: Mapping[str, int],
     dropped: Mapping[DropReason, int],
 ) -> Report:
-    """Return who is there, how sure that is, and what was sent, received and dropped; `now` is in nanoseconds."""
+    """Return the members, the confidence in this view, and the datagram counts; `now` is in nanoseconds."""
     view = membership.view(now)
     return {
         "me": {
@@ -47,7 +47,7 @@
 
 
 def report_without_address(name: str, address: str) -> Report:
-    """Return the report of an instance whose address is still in use by an older process."""
+    """Return the report of an instance that cannot bind its address yet, because an older process uses it."""
     return {"me": {"name": name, "address": address, "state": "waiting for its address"}}
 
 
--- a/canvasbeam/gossip/settings.py
+++ b/canvasbeam/gossip/settings.py
@@ -1,8 +1,8 @@
-"""The operators' file on peers: this instance's address, its seeds, its periods and sizes.
+"""The operators' settings file for peers: this instance's address, its seeds, intervals and size limits.
 
-It owns the file's keys, their rules and the wording of what is wrong: file, key and rule. The keys are older than the
-names in the code and stay; `PeerSettings.swim_parameters` alone translates them. It must never open a socket, and never
-let half a file through.
+The module owns the file's keys, their validation and the error messages, which name the file, the key and the rule. The
+keys must not change, because operators' files use them; `PeerSettings.swim_parameters` maps them to the names in the
+code. The module must never open a socket, and never accept a partially valid file.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 
 
 MAX_ADDRESSES_CACHED = 4096
-MAX_GOSSIP_INTERVAL = 50 * MS  # nanoseconds
+MAX_GOSSIP_INTERVAL = 50 * MS  # nanoseconds; upper bound of the gossip interval, which is otherwise `probe_every`
 
 
 class PeersFileError(ValueError):
-    """A file that cannot be used; the message names file, key and rule."""
+    """The settings file for peers is invalid; the message names the file, the key and the rule."""
 
 
 _DEFAULT = SwimParameters()
 
 
 class Periods(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Times in seconds; `SwimParameters` says what each is for, under its name there."""
+    """Intervals and timeouts in seconds; `SwimParameters` documents each (mapping: `PeerSettings.swim_parameters`)."""
 
     probe_every: PositiveSeconds = _DEFAULT.ping_interval / SECOND
     answer_within: PositiveSeconds = _DEFAULT.direct_ping_timeout / SECOND
@@ -50,7 +50,7 @@
 
 
 class Sizes(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Counts: members kept, datagrams a second."""
+    """Limits: members kept, and datagrams per second sent, received in total and received from one source."""
 
     members: Count = _DEFAULT.max_members
     sent_per_s: Count = 300
@@ -59,18 +59,18 @@
 
 
 class PeerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A complete file."""
+    """Content of the settings file for peers."""
 
     fleet: Name
-    address: str  # where the others reach this instance
-    listen: str = ""  # where it listens, if that is another
+    address: str  # address at which the peers reach this instance
+    listen: str = ""  # address to bind, if different from `address`
     seeds: tuple[str, ...] = ()
-    networks: tuple[str, ...] = ("127.0.0.0/8",)  # nothing is sent to, or taken from, an address outside
+    networks: tuple[str, ...] = ("127.0.0.0/8",)  # datagrams to and from addresses outside these networks are dropped
     periods: Periods = Periods()
     sizes: Sizes = Sizes()
 
     def swim_parameters(self) -> SwimParameters:
-        """Return the periods and sizes as the membership takes them; raises ValueError where they contradict."""
+        """Return the parameters of the membership; raise ValueError if the periods or sizes contradict each other."""
         periods = self.periods
         return SwimParameters(
             ping_interval=round(periods.probe_every * SECOND),
@@ -87,7 +87,7 @@
 
 
 def address_of(text: str) -> tuple[str, int]:
-    """Return `127.0.0.1:7000` as the socket takes it; raises ValueError for anything else."""
+    """Return host and port of an IPv4 address and port, as `127.0.0.1:7000`; raise ValueError for any other text."""
     host, colon, port = text.rpartition(":")
     if not colon or not port.isdecimal() or not 0 < int(port) < 65_536:
         raise ValueError("must be an IPv4 address and a port, as 127.0.0.1:7000")
@@ -96,7 +96,7 @@
 
 
 class AllowedNetworks:
-    """Which addresses datagrams may be sent to and taken from."""
+    """The networks to and from which datagrams are allowed; `in` tests an address with port, and caches the result."""
 
     def __init__(self, networks: tuple[str, ...]) -> None:
         self._networks = [ipaddress.IPv4Network(network) for network in networks]
@@ -110,14 +110,14 @@
                 is_allowed = any(host in network for network in self._networks)
             except ValueError:
                 is_allowed = False
-            if len(self._cached) >= MAX_ADDRESSES_CACHED:  # bounds the memory that forged addresses can take
+            if len(self._cached) >= MAX_ADDRESSES_CACHED:  # clearing the cache bounds the memory that forged addresses can use
                 self._cached.clear()
             self._cached[address] = is_allowed
         return is_allowed
 
 
 def load_peer_settings(path: str) -> PeerSettings:
-    """Read and check a file; raises PeersFileError, which names file, key and rule."""
+    """Read and validate a settings file; raise PeersFileError, which names the file, the key and the rule."""
     try:
         table = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
@@ -128,7 +128,7 @@
 
 
 def check(table: Mapping[str, Any], origin: str) -> PeerSettings:
-    """Check a file's table; raises PeersFileError, which names the origin, key and rule."""
+    """Validate the table of a settings file; raise PeersFileError, which names the origin, the key and the rule."""
     try:
         peers = msgspec.convert(table, PeerSettings)
     except msgspec.ValidationError as error:
@@ -143,7 +143,7 @@
         for address in addresses:
             _check_rule(origin, key, address, address_of)
             if address not in allowed:
-                raise PeersFileError(f"{origin}: {key}: {address} must lie in one of networks")
+                raise PeersFileError(f"{origin}: {key}: {address} must be in one of the networks of key `networks`")
     try:
         peers.swim_parameters()
     except ValueError as error:
@@ -152,7 +152,7 @@
 
 
 def _check_rule(origin: str, key: str, value: str, rule: Callable[[str], object]) -> None:
-    """Raise where a rule, a function that raises ValueError, refuses a value."""
+    """Raise PeersFileError if `rule`, a function that raises ValueError for invalid values, rejects the value."""
     try:
         rule(value)
     except ValueError as error:
@@ -160,13 +160,13 @@
 
 
 def _describe(message: str) -> str:
-    """Word msgspec's message as key and rule."""
+    """Return msgspec's error message rewritten as `key: rule`."""
     rule, _, path = message.partition(" - at `$")
     key = path.rstrip("`").lstrip(".")
     unknown = re.search(r"unknown field `(.+)`", rule)
     missing = re.search(r"missing required field `(.+)`", rule)
     if unknown:
-        return f"{f'{key}.' if key else ''}{unknown[1]}: is no known key"
+        return f"{f'{key}.' if key else ''}{unknown[1]}: unknown key"
     if missing:
-        return f"{f'{key}.' if key else ''}{missing[1]}: must be there"
+        return f"{f'{key}.' if key else ''}{missing[1]}: required key is missing"
     return f"{key or 'the file'}: {rule[:1].lower()}{rule[1:]}"
--- a/tests/gossip/test_peers.py
+++ b/tests/gossip/test_peers.py
@@ -61,7 +61,7 @@
     config = tmp_path / "config.json"
     config.write_text(json.dumps(fields))
     done = CliRunner().invoke(cli, ["check", str(config)])
-    assert (done.exit_code, "x: is no known key" in done.output) == (2, True)
+    assert (done.exit_code, "x: unknown key" in done.output) == (2, True)
 
 
 def test_peers_asked_where_nobody_listens_fails_in_a_line() -> None:
