--- a/canvasbeam/admin/maintenance.py
+++ b/canvasbeam/admin/maintenance.py
@@ -18,7 +18,7 @@
 Maintenance mode is a set, not a count, so two requests to enter it need one request to leave it. A worker that is
 neither in the endpoint list nor in maintenance mode is unknown. Operators restart workers during maintenance, so a
 worker that leaves maintenance mode is treated as restarted, with cold caches: its start time is the one in the endpoint
-list if that is later than its entry, and otherwise the current time, because discovery may not have reported the
+list unless that is before its entry, and otherwise the current time, because discovery may not have reported the
 restart yet.
 """
 
@@ -146,7 +146,7 @@
         return [self._reinstate(now_ns, worker), Persist(self.workers), Answer(request_id, True)]
 
     def _replace(self, now_ns: int, workers: frozenset[str]) -> list[Action]:
-        """Replace the set of workers in maintenance mode; without Persist, as the set comes from the stored file."""
+        """Replace the set, and return no Persist action, because the new set was read from the stored file."""
         entering = sorted(workers - self.workers)
         returning = sorted(self.workers - workers)
         actions: list[Action] = [Drain(worker) for worker in entering]
@@ -155,7 +155,7 @@
         return actions
 
     def _reinstate(self, now_ns: int, worker: str) -> Reinstate:
-        """Remove a worker from the set; its start time is the reported one if later than its entry, else `now_ns`."""
+        """Remove a worker from the set; its start time is the reported one, or `now_ns` if that is before its entry."""
         entered_ns = self._entered_ns.pop(worker)
         started_ns = self._starts_ns.get(worker, 0)
         return Reinstate(worker, started_ns if started_ns >= entered_ns else now_ns)
--- a/canvasbeam/gossip/settings.py
+++ b/canvasbeam/gossip/settings.py
@@ -110,7 +110,7 @@
                 is_allowed = any(host in network for network in self._networks)
             except ValueError:
                 is_allowed = False
-            if len(self._cached) >= MAX_ADDRESSES_CACHED:  # clearing the cache bounds the memory that forged addresses can use
+            if len(self._cached) >= MAX_ADDRESSES_CACHED:  # bounds the cache under forged addresses
                 self._cached.clear()
             self._cached[address] = is_allowed
         return is_allowed
--- a/tests/admin/test_maintenance.py
+++ b/tests/admin/test_maintenance.py
@@ -1,4 +1,7 @@
-"""Maintenance mode: the pure module against a model of its page, and each property against a copy that breaks it."""
+"""Tests the state machine of maintenance mode against a model of its documentation.
+
+For each property, a deliberately broken copy of the state machine shows that the test detects the fault.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 
 class Machine(RuleBasedStateMachine):
-    """Requests, endpoint lists and sets from another process, in any order, beside a model of the operators' page."""
+    """Applies requests, endpoint lists and replaced sets in any order, and compares the register with a model."""
 
     kind: type[maintenance.MaintenanceRegister] = maintenance.MaintenanceRegister
 
@@ -25,8 +28,8 @@
         self.in_maintenance: set[str] = set()
         self.now = 0
         self.requests = 0
-        self.draining: set[str] = set()  # as the core would be notified, by Drain and Reinstate alone
-        self.starts: dict[str, int] = {}  # as the endpoint list says
+        self.draining: set[str] = set()  # workers drained according to Drain and Reinstate actions alone
+        self.starts: dict[str, int] = {}  # start times in the last endpoint list
         self.entered_at: dict[str, int] = {}
         self.persisted: frozenset[str] | None = None
 
@@ -55,7 +58,7 @@
     def listed_by_discovery(self, names: set[str], restarted: set[str]) -> None:
         self.listed = names
         fresh = dict.fromkeys(restarted & names, self.now + 1)
-        self.starts = {name: fresh.get(name, self.starts.get(name, 0)) for name in names}  # the list as last reported
+        self.starts = {name: fresh.get(name, self.starts.get(name, 0)) for name in names}  # last reported starts
         self.give(maintenance.WorkersListedEvent(frozenset(names), dict(self.starts)))
 
     @rule(name=NAMES)
@@ -84,7 +87,7 @@
         for name in names - self.in_maintenance:
             self.entered_at[name] = self.now + 1
         self.in_maintenance = set(names)
-        self.persisted = frozenset(names)  # the shared file says so
+        self.persisted = frozenset(names)  # the other process has already stored this set
         self.give(maintenance.SetReplacedEvent(frozenset(names)))
 
     @invariant()
@@ -94,7 +97,7 @@
 
 
 class Counting(maintenance.MaintenanceRegister):
-    """Broken: entering twice needs leaving twice."""
+    """Fault: counts entries, so that entering twice requires leaving twice."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -114,7 +117,7 @@
 
 
 class AcceptingUnknown(maintenance.MaintenanceRegister):
-    """Broken: any worker enters, known or not."""
+    """Fault: accepts requests about workers that are not in the endpoint list."""
 
     def handle(self, now: int, events: list[maintenance.Event]) -> list[maintenance.Action]:
         names = {
@@ -126,14 +129,14 @@
 
 
 class NotReplacing(maintenance.MaintenanceRegister):
-    """Broken: what another process stored is not taken up."""
+    """Fault: ignores the set stored by another process."""
 
     def handle(self, now: int, events: list[maintenance.Event]) -> list[maintenance.Action]:
         return super().handle(now, [event for event in events if not isinstance(event, maintenance.SetReplacedEvent)])
 
 
 class IgnoringStarts(maintenance.MaintenanceRegister):
-    """Broken: a restart that discovery reported is ignored; every returning worker counts as started now."""
+    """Fault: ignores start times reported by discovery, so every returning worker counts as started now."""
 
     def handle(self, now: int, events: list[maintenance.Event]) -> list[maintenance.Action]:
         without_starts = [
@@ -146,7 +149,7 @@
 
 
 class NotPersisting(maintenance.MaintenanceRegister):
-    """Broken: the set is not stored."""
+    """Fault: never stores the set of workers in maintenance mode."""
 
     def handle(self, now: int, events: list[maintenance.Event]) -> list[maintenance.Action]:
         return [action for action in super().handle(now, events) if not isinstance(action, maintenance.Persist)]
--- a/tests/admin/test_operations.py
+++ b/tests/admin/test_operations.py
@@ -1,4 +1,4 @@
-"""The operations of the management address: maintenance mode and figures, on a scheduler that serves."""
+"""Tests maintenance mode and the `/stats` counters through the management address of a running scheduler."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def serve_all(world: ManagedScheduler, count: int, first: int = 0) -> list[int]:
-    """Send requests together, each answered at once by the worker that got it; return how many each worker got."""
+    """Send `count` concurrent requests, answer each at once, and return the number of requests per worker."""
     clients = [world.client(job(call_id=f"c{number}")) for number in range(first, first + count)]
     got: list[set[str]] = [set() for _ in world.servers]
 
@@ -36,9 +36,9 @@
 def test_a_worker_in_maintenance_mode_gets_no_new_request_whatever_discovery_says() -> None:
     world = ManagedScheduler(Server(), Server())
     assert request_maintenance(world, "s-0") == 200
-    world.list_targets()  # discovery still says live
+    world.list_targets()  # discovery still reports the worker as live
     assert serve_all(world, 6) == [0, 6]
-    assert world.coordinator.ended[Outcome.MOOT] == 0  # the dispatcher was notified, and chose it for none
+    assert world.coordinator.ended[Outcome.MOOT] == 0  # the dispatcher was notified, and never chose s-0
     assert world.call(b"GET /healthcheck HTTP/1.1\r\n\r\n").split()[1] == "200"
 
 
@@ -53,7 +53,7 @@
     entry = world.coordinator._entry(world.coordinator.workers["s-0"])
     assert entry.state is WorkerState.LIVE
     assert entry.started_ns >= world.coordinator.decisions.to_dispatcher_time(back_at)
-    assert serve_all(world, 8)[0] > 0  # used again
+    assert serve_all(world, 8)[0] > 0  # the worker gets requests again
 
 
 def test_a_request_about_an_unknown_worker_is_rejected() -> None:
@@ -76,14 +76,14 @@
     old = ManagedScheduler(*servers, handover=Handover(handover_path(tmp_path, ("127.0.0.1", 5000))))
     assert request_maintenance(old, "s-1") == 200
     new = ManagedScheduler(*servers, handover=Handover(handover_path(tmp_path, ("127.0.0.1", 5000))))
-    assert new.coordinator.worker_table.in_maintenance == {"s-1"}  # read at its start
+    assert new.coordinator.worker_table.in_maintenance == {"s-1"}  # read when the new process starts
     assert request_maintenance(new, "s-0") == 200
-    old.until(lambda: old.coordinator.worker_table.in_maintenance == {"s-0", "s-1"})  # applied by the one still running
+    old.until(lambda: old.coordinator.worker_table.in_maintenance == {"s-0", "s-1"})  # the old process polls
     assert request_maintenance(new, "s-1", "ready") == 200
     old.until(lambda: old.coordinator.worker_table.in_maintenance == {"s-0"})
     assert serve_all(new, 3) == [0, 3]
     elsewhere = ManagedScheduler(*servers, handover=Handover(handover_path(tmp_path, ("127.0.0.1", 5001))))
-    assert elsewhere.coordinator.worker_table.in_maintenance == set()  # a scheduler on another address keeps its own
+    assert elsewhere.coordinator.worker_table.in_maintenance == set()  # other addresses have their own set
 
 
 def figures(world: ManagedScheduler) -> dict[str, Any]:
@@ -110,7 +110,7 @@
     held = world.client(job(call_id="c3"))
     worker = world.asked(0, 3)
     twice = world.client(job(call_id="c3"))
-    assert world.answer(twice).split()[1] == "503"  # over the limit of open requests: nothing was taken
+    assert world.answer(twice).split()[1] == "503"  # rejected: over the limit `open_requests`
     middle = figures(world)
     assert middle["pending"] == 1
     assert middle["upstream_requests"] == 3
@@ -138,7 +138,7 @@
 
 def test_an_ejected_worker_counts_as_unavailable() -> None:
     world = ManagedScheduler(Server(), Server())
-    world.servers[1].sock.close()  # refuses connections: ejected at the first one
+    world.servers[1].sock.close()  # refuses connections, so the first refusal ejects the worker
     world.coordinator.listed(ListKind.COMPLETE, [world.target(0), world.target(1)], 2)
     clients = [world.client(job(call_id=f"c{number}")) for number in range(4)]
     world.until(lambda: world.coordinator.unavailable_workers() == 1)
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -1,4 +1,4 @@
-"""The management address: health, bad requests, and callers that hold a connection beside one that asks."""
+"""Tests the HTTP server of the management address: health check, invalid requests, idle clients and floods."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
         answer = world.call(b"GET /healthcheck HTTP/1.1\r\n\r\n"[:cut])
         assert status(answer) == 408, cut
     peer = world.caller()
-    world.until(lambda: peer.look() == b"" and peer.ended)  # one that sends nothing is closed
+    world.until(lambda: peer.look() == b"" and peer.ended)  # a connection without any data is closed with no response
 
 
 def test_callers_that_hold_their_connection_keep_nobody_out() -> None:
@@ -65,7 +65,7 @@
     answer = world.call(b"GET /healthcheck HTTP/1.1\r\n\r\n")
     assert status(answer) == 200
     assert len(world.mgmt.connections) <= world.limits.mgmt_connections
-    assert any(holder.look() == b"" and holder.ended for holder in holders)  # the oldest was closed
+    assert any(holder.look() == b"" and holder.ended for holder in holders)  # closed to make room
 
 
 def test_a_flood_of_clients_does_not_delay_the_management_address() -> None:
@@ -85,7 +85,7 @@
 def test_a_flood_on_the_management_address_does_not_delay_the_clients() -> None:
     world = ManagedScheduler(Server())
     callers = []
-    for _ in range(8 * world.limits.mgmt_connections):  # more than the backlog: nobody waits for their connects
+    for _ in range(8 * world.limits.mgmt_connections):  # exceeds the backlog, so the connects must not block
         sock = socket.socket()
         sock.setblocking(False)
         sock.connect_ex(world.mgmt_address)
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -1,4 +1,4 @@
-"""The bytes of a datagram: what goes through, and what is dropped and counted."""
+"""Tests encoding and decoding of gossip datagrams, and the counts of dropped datagrams."""
 
 from __future__ import annotations
 
--- a/tests/gossip/test_datagram_node.py
+++ b/tests/gossip/test_datagram_node.py
@@ -1,4 +1,4 @@
-"""The socket on the program's loop: nodes that find each other, floods, and addresses out of reach."""
+"""Tests gossip nodes on an event loop: joining and leaving, address reuse, floods and disallowed addresses."""
 
 from __future__ import annotations
 
--- a/tests/gossip/test_peer_processes.py
+++ b/tests/gossip/test_peer_processes.py
@@ -1,7 +1,7 @@
-"""Real processes of the program that know each other, with faults between them that the stage's own links inject.
+"""Tests membership among real scheduler processes, with link faults injected between them by the simulator's links.
 
-Nothing here depends on how fast it goes: each story waits until all instances say what must come true, and then looks
-at what was said meanwhile. How long it takes is measured by `bench/peers.py`.
+No test depends on timing: each waits until all instances report the expected membership, and then checks the reports
+and logs up to that point. `bench/peers.py` measures the durations.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[PeerFleet]:
-    made = PeerFleet(len(NAMES) + 1, tmp_path)  # the last place stays free
+    made = PeerFleet(len(NAMES) + 1, tmp_path)  # the last address stays unused
     held = ManualLinks(made.relay.links.zones)
     held.cuts = set()
     made.relay.links = held
@@ -48,7 +48,7 @@
 
 
 def is_unanswered(told: dict[str, Any]) -> bool:
-    """Whether an instance says that it hears others and is answered by nobody."""
+    """Return True if an instance reports that it receives datagrams but that its pings remain unanswered."""
     return told["unanswered_s"] is not None and told["silent_s"] is None
 
 
@@ -56,11 +56,11 @@
     fleet.signal("n1", signal.SIGKILL)
     fleet.until(lambda: fleet.all_know_gone("n1"))
     assert {row(fleet, name, "n1")["state"] for name in NAMES if name != "n1"} == {"dead"}
-    fleet.start("n1", clock_s=-3600)  # nothing kept, and a clock that is an hour behind
+    fleet.start("n1", clock_s=-3600)  # restarted without state, with its clock one hour behind
     fleet.until(fleet.agree)
-    # Its clock gives a lower start than what was said of it: it takes its name by a higher one.
+    # The slow clock gives n1 a lower start time than its earlier process had, so n1 announces a higher start time.
     assert fleet.counted("an earlier process of this name started later by its clock") == 1
-    fleet.signal("n0", signal.SIGTERM)  # a seed
+    fleet.signal("n0", signal.SIGTERM)  # n0 is a seed
     fleet.until(lambda: fleet.all_know_gone("n0"))
     assert {row(fleet, name, "n0")["state"] for name in NAMES if name != "n0"} == {"left"}
     done = CliRunner().invoke(cli, ["peers", "{}:{}".format(*fleet.members["n2"].mgmt), "--json"])
@@ -74,7 +74,7 @@
     fleet.until(lambda: all(fleet.view(item) == list(many) for item in many))
     links(fleet).cuts.clear()
     fleet.until(fleet.agree)
-    # Nobody was called dead by one of its own part.
+    # No instance may declare a member of its own part of the partition dead.
     for name in NAMES:
         part = few if name in few else many
         log = (fleet.folder / f"{name}.log").read_text()
@@ -85,8 +85,8 @@
     links(fleet).cuts = {(name, "n3") for name in NAMES if name != "n3"}
     fleet.until(lambda: fleet.members["n3"].told["silent_s"] is not None)
     assert fleet.members["n3"].told["sure"] == 0
-    assert len(fleet.view("n3")) == len(NAMES)  # it suspects itself first
-    fleet.until(lambda: fleet.all_know_gone("n3"))  # it answers nobody
+    assert len(fleet.view("n3")) == len(NAMES)  # n3 considers itself cut off before it declares others dead
+    fleet.until(lambda: fleet.all_know_gone("n3"))  # n3 answers no ping
     links(fleet).cuts.clear()
     fleet.until(fleet.agree)
     assert not fleet.counted("nothing heard at all")
@@ -95,7 +95,7 @@
 def test_who_is_heard_by_nobody_says_so_and_calls_nobody_dead(fleet: PeerFleet) -> None:
     links(fleet).cuts = {("n3", name) for name in NAMES if name != "n3"}
     fleet.until(lambda: fleet.all_know_gone("n3"))
-    # It hears the others, who ask it all the time.
+    # n3 still receives the pings of the others.
     fleet.until(lambda: is_unanswered(fleet.members["n3"].told))
     assert fleet.members["n3"].told["sure"] == 0
     assert fleet.members["n0"].told["unanswered_s"] is None
@@ -113,7 +113,7 @@
     fleet.signal("n2", signal.SIGCONT)
     fleet.until(fleet.agree)
     said = (fleet.folder / "n2.log").read_text()[len(before) :]
-    assert "incarnation" in said  # it heard what it was called, and refuted it
+    assert "incarnation" in said  # n2 received the report of its death and refuted it
     assert ": dead, before" not in said
 
 
--- a/tests/gossip/test_peer_settings.py
+++ b/tests/gossip/test_peer_settings.py
@@ -1,4 +1,4 @@
-"""The operators' file on peers: what is read, and how an error names file, key and rule."""
+"""Tests the settings file for peers, and that error messages name the file, the key and the rule."""
 
 from __future__ import annotations
 
--- a/tests/gossip/test_peers.py
+++ b/tests/gossip/test_peers.py
@@ -1,4 +1,4 @@
-"""Peers are off unless asked for, and how operators ask for them."""
+"""Tests that gossip is off by default, how operators enable it, and the commands that read its state."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def run_scheduler(folder: Path, allowed: bool, text: str | None) -> subprocess.CompletedProcess[str]:
-    """The program with a file on peers, ended by its own bad address for clients."""
+    """Run the scheduler with a settings file for peers; an unusable clients' address makes the process exit."""
     fields = json.loads((ROOT / "example" / "config.json").read_text())
     fields["settings"]["policyLimits"]["peers"] = allowed
     config = folder / "config.json"
@@ -29,7 +29,7 @@
     environment |= {"LB_CONFIG": str(config), "PYTHONPATH": str(ROOT)}
     if text is not None:
         environment["LB_PEERS"] = write_file(folder, text)
-    fields["listen"] = "203.0.113.1:5"  # nobody's: the program says so and ends
+    fields["listen"] = "203.0.113.1:5"  # unavailable address (TEST-NET-3): the scheduler logs the error and exits
     config.write_text(json.dumps(fields))
     return subprocess.run(
         [sys.executable, "-X", "importtime", "-m", "canvasbeam"], env=environment, cwd=ROOT, capture_output=True,
--- a/tests/gossip/test_rate_limits.py
+++ b/tests/gossip/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""The rates of datagrams, in sum and of each source."""
+"""Tests the rate limits for datagrams, in total and per source."""
 
 from __future__ import annotations
 
