--- a/canvasbeam/admin/operations.py
+++ b/canvasbeam/admin/operations.py
@@ -56,7 +56,7 @@
         """Return True if at least one live worker can get requests and no planned shutdown has begun."""
         return self._listener.is_ready
 
-    def figures(self) -> JsonObject:
+    def stats(self) -> JsonObject:
         """Return the counters and gauges of this pass of the event loop, under the keys of `/stats`."""
         coordinator = self._coordinator
         return {
@@ -81,7 +81,7 @@
 
     def _request(self, request: EnterRequestedEvent | LeaveRequestedEvent) -> bool:
         """Execute an operator's request; return True if the request was accepted."""
-        actions = self._carry_out([self._workers_listed(), request])
+        actions = self._execute([self._workers_listed(), request])
         answers = [action for action in actions if isinstance(action, Answer)]
         return answers[-1].is_accepted
 
@@ -89,7 +89,7 @@
         """Apply a changed set from the shared file, written by another process, and schedule the next poll."""
         workers = handover.read_if_changed()
         if workers is not None:
-            self._carry_out([self._workers_listed(), SetReplacedEvent(workers)])
+            self._execute([self._workers_listed(), SetReplacedEvent(workers)])
         self._coordinator.loop.after(HANDOVER_POLL_INTERVAL, lambda: self._poll_handover(handover))
 
     def _workers_listed(self) -> WorkersListedEvent:
@@ -98,7 +98,7 @@
         starts_ns = {worker.name: nanoseconds(worker.started) for worker in workers if worker.started is not None}
         return WorkersListedEvent(frozenset(self._coordinator.workers), starts_ns)
 
-    def _carry_out(self, events: list[Event]) -> list[Action]:
+    def _execute(self, events: list[Event]) -> list[Action]:
         """Pass the events to the register, execute the resulting actions and return them."""
         loop = self._coordinator.loop
         actions = self._register.handle(nanoseconds(loop.now), events)
--- a/canvasbeam/admin/routes.py
+++ b/canvasbeam/admin/routes.py
@@ -27,7 +27,7 @@
     def can_serve(self) -> bool:
         """Return True if this process can currently serve clients."""
 
-    def figures(self) -> JsonObject:
+    def stats(self) -> JsonObject:
         """Return the counters and gauges for `/stats`."""
 
     def peers(self) -> JsonObject | None:
@@ -50,7 +50,7 @@
     if path == HEALTH_PATH:
         return _respond_if(method, b"GET", lambda: _health_response(operations.can_serve()))
     if path == STATS_PATH:
-        return _respond_if(method, b"GET", lambda: _json_response(operations.figures()))
+        return _respond_if(method, b"GET", lambda: _json_response(operations.stats()))
     if path == PEERS_PATH:
         return _respond_if(method, b"GET", lambda: _peers_response(operations.peers()))
     if path.startswith(WORKERS_PREFIX):
@@ -73,8 +73,8 @@
     if method != allowed and not (allowed == b"GET" and method == b"HEAD"):
         allow_header = f"Allow: {allowed.decode()}\r\n"
         return plain_response(HTTPStatus.METHOD_NOT_ALLOWED, "not by this method", allow_header)
-    whole = operation()
-    return head_only(whole) if method == b"HEAD" else whole
+    full_response = operation()
+    return head_only(full_response) if method == b"HEAD" else full_response
 
 
 def _not_found() -> bytes:
--- a/canvasbeam/admin/server.py
+++ b/canvasbeam/admin/server.py
@@ -43,7 +43,7 @@
     def on_event(self, mask: int) -> None:
         """Accept pending connections, at most `mgmt_backlog` in one pass of the loop."""
         for _ in range(self.limits.mgmt_backlog):
-            if len(self.connections) >= self.limits.mgmt_connections and not self._close_one():
+            if len(self.connections) >= self.limits.mgmt_connections and not self._evict_connection():
                 return
             try:
                 sock, _ = self.sock.accept()
@@ -54,16 +54,18 @@
                 return
             ManagementConnection(self, sock)
 
-    def _close_one(self) -> bool:
+    def _evict_connection(self) -> bool:
         """Close one connection to make room for a new one; return False if no connection is open.
 
         Without this, clients that hold connections and send nothing would fill the table. Connections that already
         have their response are closed first, then the connection that has been open longest without a response.
         """
-        in_order = sorted(self.connections.values(), key=lambda connection: (not connection.answered, connection.since))
-        if not in_order:
+        by_priority = sorted(
+            self.connections.values(), key=lambda connection: (not connection.answered, connection.since)
+        )
+        if not by_priority:
             return False
-        in_order[0].close()
+        by_priority[0].close()
         return True
 
     def on_failure(self) -> None:
--- a/canvasbeam/gossip/datagram_node.py
+++ b/canvasbeam/gossip/datagram_node.py
@@ -27,7 +27,7 @@
 from canvasbeam.gossip.change_log import ChangeLog
 from canvasbeam.gossip.codec import MAX_DATAGRAM_BYTES, Codec, DropReason
 from canvasbeam.gossip.rate_limits import SourceRateLimits, TokenBucket
-from canvasbeam.gossip.report import Report, report_of, report_without_address
+from canvasbeam.gossip.report import Report, build_report, report_without_address
 from canvasbeam.gossip.settings import AllowedNetworks, PeerSettings, address_of
 from canvasbeam.scheduler.limits import nanoseconds, seconds, span_of
 from canvasbeam.scheduler.loop import READ, Deadline, Endpoint, Loop
@@ -46,10 +46,10 @@
 
     def __init__(self, loop: Loop, sock: socket.socket, peers: PeerSettings, name: str, start_ms: int) -> None:
         super().__init__(loop, sock)
-        me = Sender(name, start_ms, 0, peers.address)
+        sender = Sender(name, start_ms, 0, peers.address)
         now = nanoseconds(loop.now)
         seed = int.from_bytes(os.urandom(8))
-        self.members = Membership(me, peers.seeds, peers.swim_parameters(), seed, now)
+        self.members = Membership(sender, peers.seeds, peers.swim_parameters(), seed, now)
         self.codec = Codec(peers.fleet, 2 * peers.sizes.members)
         self.sent: Counter[str] = Counter()
         self.received: Counter[str] = Counter()
@@ -83,13 +83,13 @@
                 break
             except OSError:  # delivery error of an earlier sent datagram: its receiver was unreachable
                 continue
-            event = self._read(data, f"{source[0]}:{source[1]}")
+            event = self._admit_and_decode(data, f"{source[0]}:{source[1]}")
             if event is not None:
                 events.append(event)
         if events:
             self._handle(events)
 
-    def _read(self, data: bytes, source: str) -> DatagramReceived | None:
+    def _admit_and_decode(self, data: bytes, source: str) -> DatagramReceived | None:
         now, dropped = nanoseconds(self.loop.now), self.codec.dropped
         if source not in self._networks:
             dropped[DropReason.ADDRESS_NOT_ALLOWED] += 1
@@ -117,9 +117,9 @@
                 case ReportChange():
                     self._change_log.report(action, now)
         self.loop.cancel(self._deadline)
-        self._deadline = self.loop.at(span_of(self.members.wake), self._on_time, self)
+        self._deadline = self.loop.at(span_of(self.members.wake), self._on_timer, self)
 
-    def _on_time(self) -> None:
+    def _on_timer(self) -> None:
         self._handle([Ticked()])
 
     def _send(self, action: SendDatagram) -> None:
@@ -131,8 +131,8 @@
             dropped[DropReason.NOT_SENT] += 1
             return
         members = self.members
-        me = Sender(members.name, members.start, members.incarnation, members.address)
-        data = self.codec.encode(me, action.datagram)
+        sender = Sender(members.name, members.start, members.incarnation, members.address)
+        data = self.codec.encode(sender, action.datagram)
         if data is None:
             return
         try:
@@ -146,11 +146,11 @@
     def on_failure(self) -> None:
         """Keep the socket open after a failure, and schedule the membership timer again after `gossip_interval`."""
         self.loop.cancel(self._deadline)
-        self._deadline = self.loop.after(span_of(self.members.parameters.gossip_interval), self._on_time, self)
+        self._deadline = self.loop.after(span_of(self.members.parameters.gossip_interval), self._on_timer, self)
 
     def report(self) -> Report:
         """Return the membership and the datagram counts, for operators."""
-        return report_of(self.members, nanoseconds(self.loop.now), self.sent, self.received, self.codec.dropped)
+        return build_report(self.members, nanoseconds(self.loop.now), self.sent, self.received, self.codec.dropped)
 
 
 class PeerNode:
--- a/canvasbeam/gossip/report.py
+++ b/canvasbeam/gossip/report.py
@@ -16,7 +16,7 @@
 Report = dict[str, Any]  # a JSON object
 
 
-def report_of(
+def build_report(
     membership: Membership,
     now: int,
     sent: Mapping[str, int],
@@ -39,7 +39,7 @@
         "sure": round(view.confidence, 3),
         "silent_s": _age_s(view.nothing_received_since, now),
         "unanswered_s": _age_s(view.unanswered_since, now),
-        "members": [_row(member, now) for _, member in sorted(membership.members.items())],
+        "members": [_member_row(member, now) for _, member in sorted(membership.members.items())],
         "sent": dict(sent),
         "taken": dict(received),
         "dropped": {reason.value: count for reason, count in dropped.items()},
@@ -51,7 +51,7 @@
     return {"me": {"name": name, "address": address, "state": "waiting for its address"}}
 
 
-def _row(member: Member, now: int) -> Report:
+def _member_row(member: Member, now: int) -> Report:
     known = member.known
     return {
         "name": known.name,
--- a/tests/admin/test_maintenance.py
+++ b/tests/admin/test_maintenance.py
@@ -16,14 +16,14 @@
 NAMES = st.sampled_from(["a", "b", "c", "d"])
 
 
-class Machine(RuleBasedStateMachine):
+class MaintenanceStateMachine(RuleBasedStateMachine):
     """Applies requests, endpoint lists and replaced sets in any order, and compares the register with a model."""
 
-    kind: type[maintenance.MaintenanceRegister] = maintenance.MaintenanceRegister
+    register_class: type[maintenance.MaintenanceRegister] = maintenance.MaintenanceRegister
 
     def __init__(self) -> None:
         super().__init__()
-        self.register = self.kind()
+        self.register = self.register_class()
         self.listed: set[str] = set()
         self.in_maintenance: set[str] = set()
         self.now = 0
@@ -33,7 +33,7 @@
         self.entered_at: dict[str, int] = {}
         self.persisted: frozenset[str] | None = None
 
-    def give(self, *events: maintenance.Event) -> list[maintenance.Action]:
+    def send_events(self, *events: maintenance.Event) -> list[maintenance.Action]:
         self.now += 1
         actions = self.register.handle(self.now, list(events))
         for action in actions:
@@ -57,14 +57,14 @@
     @rule(names=st.sets(NAMES), restarted=st.sets(NAMES))
     def listed_by_discovery(self, names: set[str], restarted: set[str]) -> None:
         self.listed = names
-        fresh = dict.fromkeys(restarted & names, self.now + 1)
-        self.starts = {name: fresh.get(name, self.starts.get(name, 0)) for name in names}  # last reported starts
-        self.give(maintenance.WorkersListedEvent(frozenset(names), dict(self.starts)))
+        new_starts = dict.fromkeys(restarted & names, self.now + 1)
+        self.starts = {name: new_starts.get(name, self.starts.get(name, 0)) for name in names}  # last reported starts
+        self.send_events(maintenance.WorkersListedEvent(frozenset(names), dict(self.starts)))
 
     @rule(name=NAMES)
     def enter_maintenance(self, name: str) -> None:
         self.requests += 1
-        accepted = self.answer(self.give(maintenance.EnterRequestedEvent(name, self.requests)))
+        accepted = self.answer(self.send_events(maintenance.EnterRequestedEvent(name, self.requests)))
         assert accepted == (name in self.listed or name in self.in_maintenance), (
             "requests for unknown workers are rejected"
         )
@@ -76,7 +76,7 @@
     @rule(name=NAMES)
     def leave_maintenance(self, name: str) -> None:
         self.requests += 1
-        accepted = self.answer(self.give(maintenance.LeaveRequestedEvent(name, self.requests)))
+        accepted = self.answer(self.send_events(maintenance.LeaveRequestedEvent(name, self.requests)))
         assert accepted == (name in self.listed or name in self.in_maintenance)
         self.in_maintenance.discard(name)
         if accepted:
@@ -88,7 +88,7 @@
             self.entered_at[name] = self.now + 1
         self.in_maintenance = set(names)
         self.persisted = frozenset(names)  # the other process has already stored this set
-        self.give(maintenance.SetReplacedEvent(frozenset(names)))
+        self.send_events(maintenance.SetReplacedEvent(frozenset(names)))
 
     @invariant()
     def maintenance_mode_is_a_set_and_its_workers_drain(self) -> None:
@@ -101,19 +101,19 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.times: dict[str, int] = {}
+        self.entries: dict[str, int] = {}
 
     def handle(self, now: int, events: list[maintenance.Event]) -> list[maintenance.Action]:
-        passed_on: list[maintenance.Event] = []
+        forwarded_events: list[maintenance.Event] = []
         for event in events:
             if isinstance(event, maintenance.EnterRequestedEvent) and event.worker in self.workers:
-                self.times[event.worker] = self.times.get(event.worker, 1) + 1
-            if isinstance(event, maintenance.LeaveRequestedEvent) and self.times.get(event.worker, 1) > 1:
-                self.times[event.worker] -= 1
-                passed_on.append(maintenance.WorkersListedEvent(frozenset()))
+                self.entries[event.worker] = self.entries.get(event.worker, 1) + 1
+            if isinstance(event, maintenance.LeaveRequestedEvent) and self.entries.get(event.worker, 1) > 1:
+                self.entries[event.worker] -= 1
+                forwarded_events.append(maintenance.WorkersListedEvent(frozenset()))
                 return [maintenance.Answer(event.request_id, True)]
-            passed_on.append(event)
-        return super().handle(now, passed_on)
+            forwarded_events.append(event)
+        return super().handle(now, forwarded_events)
 
 
 class AcceptingUnknown(maintenance.MaintenanceRegister):
@@ -155,7 +155,7 @@
         return [action for action in super().handle(now, events) if not isinstance(action, maintenance.Persist)]
 
 
-TestMaintenance = Machine.TestCase
+TestMaintenance = MaintenanceStateMachine.TestCase
 TestMaintenance.settings = profile(
     max_examples=80, stateful_step_count=30, deadline=None, derandomize=True, database=None
 )
@@ -163,8 +163,8 @@
 
 @pytest.mark.parametrize("broken", [Counting, AcceptingUnknown, NotReplacing, IgnoringStarts, NotPersisting])
 def test_each_property_catches_a_broken_module(broken: type[maintenance.MaintenanceRegister]) -> None:
-    class Broken(Machine):
-        kind = broken
+    class Broken(MaintenanceStateMachine):
+        register_class = broken
 
     assert_caught(Broken, max_examples=80, steps=30)
 
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -15,19 +15,19 @@
 
 
 def test_health_is_ok_only_once_a_worker_is_live() -> None:
-    world = ManagedScheduler(Server())
-    world.list_targets(WorkerState.DRAINING)
-    assert status(world.call(b"GET /healthcheck HTTP/1.1\r\n\r\n")) == 503
-    world.list_targets()
-    answer = world.call(b"GET /healthcheck HTTP/1.1\r\n\r\n")
+    scheduler = ManagedScheduler(Server())
+    scheduler.list_targets(WorkerState.DRAINING)
+    assert status(scheduler.call(b"GET /healthcheck HTTP/1.1\r\n\r\n")) == 503
+    scheduler.list_targets()
+    answer = scheduler.call(b"GET /healthcheck HTTP/1.1\r\n\r\n")
     assert status(answer) == 200
     assert "Connection: close" in answer
 
 
 def test_health_is_not_ok_once_the_planned_shutdown_has_begun() -> None:
-    world = ManagedScheduler(Server())
-    world.listener.drain()
-    assert status(world.call(b"GET /healthcheck HTTP/1.1\r\n\r\n")) == 503
+    scheduler = ManagedScheduler(Server())
+    scheduler.listener.drain()
+    assert status(scheduler.call(b"GET /healthcheck HTTP/1.1\r\n\r\n")) == 503
 
 
 BAD_REQUESTS = {
@@ -44,56 +44,56 @@
 
 @pytest.mark.parametrize("name", BAD_REQUESTS)
 def test_a_bad_request_gets_its_status(name: str) -> None:
-    world = ManagedScheduler(Server())
+    scheduler = ManagedScheduler(Server())
     data, expected = BAD_REQUESTS[name]
-    assert status(world.call(data)) == expected
+    assert status(scheduler.call(data)) == expected
 
 
 def test_an_incomplete_request_is_answered_and_closed_within_its_time() -> None:
     limits = replace(Limits(client_connections=8, worker_connections=8), mgmt_call=Limits().mgmt_call / 100)
-    world = ManagedScheduler(Server(), limits=limits)
+    scheduler = ManagedScheduler(Server(), limits=limits)
     for cut in range(1, len(b"GET /healthcheck HTTP/1.1\r\n\r\n")):
-        answer = world.call(b"GET /healthcheck HTTP/1.1\r\n\r\n"[:cut])
+        answer = scheduler.call(b"GET /healthcheck HTTP/1.1\r\n\r\n"[:cut])
         assert status(answer) == 408, cut
-    peer = world.caller()
-    world.until(lambda: peer.look() == b"" and peer.ended)  # a connection without any data is closed with no response
+    peer = scheduler.caller()
+    scheduler.until(lambda: peer.look() == b"" and peer.ended)  # closed without a response, as no data came
 
 
-def test_callers_that_hold_their_connection_keep_nobody_out() -> None:
-    world = ManagedScheduler(Server())
-    holders = [world.caller(b"GET /health") for _ in range(3 * world.limits.mgmt_connections)]
-    answer = world.call(b"GET /healthcheck HTTP/1.1\r\n\r\n")
+def test_idle_connections_do_not_block_new_clients() -> None:
+    scheduler = ManagedScheduler(Server())
+    idle_clients = [scheduler.caller(b"GET /health") for _ in range(3 * scheduler.limits.mgmt_connections)]
+    answer = scheduler.call(b"GET /healthcheck HTTP/1.1\r\n\r\n")
     assert status(answer) == 200
-    assert len(world.mgmt.connections) <= world.limits.mgmt_connections
-    assert any(holder.look() == b"" and holder.ended for holder in holders)  # closed to make room
+    assert len(scheduler.mgmt.connections) <= scheduler.limits.mgmt_connections
+    assert any(idle_client.look() == b"" and idle_client.ended for idle_client in idle_clients)  # closed to make room
 
 
 def test_a_flood_of_clients_does_not_delay_the_management_address() -> None:
-    world = ManagedScheduler(Server())
-    clients = [world.client(b"POST /api HTTP/1.1\r\n") for _ in range(2 * world.limits.client_connections)]
-    assert status(world.call(b"GET /healthcheck HTTP/1.1\r\n\r\n")) == 200
-    assert len(clients) > world.limits.client_connections
+    scheduler = ManagedScheduler(Server())
+    clients = [scheduler.client(b"POST /api HTTP/1.1\r\n") for _ in range(2 * scheduler.limits.client_connections)]
+    assert status(scheduler.call(b"GET /healthcheck HTTP/1.1\r\n\r\n")) == 200
+    assert len(clients) > scheduler.limits.client_connections
 
 
 def test_the_clients_address_is_shared_with_a_second_process() -> None:
-    world = ManagedScheduler(Server())
-    beside = Listener.bind(world.loop, world.coordinator, world.limits, world.address)
-    assert beside.sock.getsockname() == world.address
-    beside.close()
+    scheduler = ManagedScheduler(Server())
+    second_listener = Listener.bind(scheduler.loop, scheduler.coordinator, scheduler.limits, scheduler.address)
+    assert second_listener.sock.getsockname() == scheduler.address
+    second_listener.close()
 
 
 def test_a_flood_on_the_management_address_does_not_delay_the_clients() -> None:
-    world = ManagedScheduler(Server())
+    scheduler = ManagedScheduler(Server())
     callers = []
-    for _ in range(8 * world.limits.mgmt_connections):  # exceeds the backlog, so the connects must not block
+    for _ in range(8 * scheduler.limits.mgmt_connections):  # exceeds the backlog, so the connects must not block
         sock = socket.socket()
         sock.setblocking(False)
-        sock.connect_ex(world.mgmt_address)
+        sock.connect_ex(scheduler.mgmt_address)
         callers.append(sock)
-    client = world.client(job(call_id="c1"))
-    world.asked(0).say(done("r1", "c1"))
-    assert world.answer(client).endswith("r1")
-    assert len(world.mgmt.connections) <= world.limits.mgmt_connections
-    assert len(callers) > world.limits.mgmt_connections
+    client = scheduler.client(job(call_id="c1"))
+    scheduler.asked(0).say(done("r1", "c1"))
+    assert scheduler.answer(client).endswith("r1")
+    assert len(scheduler.mgmt.connections) <= scheduler.limits.mgmt_connections
+    assert len(callers) > scheduler.limits.mgmt_connections
     for sock in callers:
         sock.close()
--- a/tests/gossip/test_peers.py
+++ b/tests/gossip/test_peers.py
@@ -38,43 +38,43 @@
 
 
 @pytest.mark.parametrize(("allowed", "text"), [(False, GOOD), (False, "rubbish"), (True, None)])
-def test_off_it_costs_no_import(tmp_path: Path, allowed: bool, text: str | None) -> None:
-    done = run_scheduler(tmp_path, allowed, text)
-    assert "cannot listen or serve" in done.stderr
-    assert "canvasbeam.gossip" not in done.stderr
-    assert "msgspec" not in done.stderr
-    assert "membership" not in done.stderr
-
-
-def test_a_bad_file_ends_the_start_with_one_line(tmp_path: Path) -> None:
-    done = run_scheduler(tmp_path, True, 'fleet = "f"\naddress = "x"')
-    assert done.returncode == 1
-    lines = [line for line in done.stderr.splitlines() if not line.startswith("import time")]
+def test_disabled_gossip_is_not_imported(tmp_path: Path, allowed: bool, text: str | None) -> None:
+    result = run_scheduler(tmp_path, allowed, text)
+    assert "cannot listen or serve" in result.stderr
+    assert "canvasbeam.gossip" not in result.stderr
+    assert "msgspec" not in result.stderr
+    assert "membership" not in result.stderr
+
+
+def test_an_invalid_settings_file_stops_startup_with_one_line(tmp_path: Path) -> None:
+    result = run_scheduler(tmp_path, True, 'fleet = "f"\naddress = "x"')
+    assert result.returncode == 1
+    lines = [line for line in result.stderr.splitlines() if not line.startswith("import time")]
     assert len(lines) == 1
     assert "peers.toml: address: must be an IPv4 address" in lines[0]
 
 
-def test_check_reads_the_file_on_peers_too(tmp_path: Path) -> None:
+def test_the_check_command_validates_the_settings_file_for_peers(tmp_path: Path) -> None:
     fields = json.loads((ROOT / "example" / "config.json").read_text())
     fields["settings"]["policyLimits"]["peers"] = True
     fields["peers"] = write_file(tmp_path, GOOD + "x = 1")
     config = tmp_path / "config.json"
     config.write_text(json.dumps(fields))
-    done = CliRunner().invoke(cli, ["check", str(config)])
-    assert (done.exit_code, "x: unknown key" in done.output) == (2, True)
+    result = CliRunner().invoke(cli, ["check", str(config)])
+    assert (result.exit_code, "x: unknown key" in result.output) == (2, True)
 
 
-def test_peers_asked_where_nobody_listens_fails_in_a_line() -> None:
-    done = CliRunner().invoke(cli, ["peers", f"127.0.0.1:{free_port()}"])
-    assert (done.exit_code, done.output.count("\n")) == (1, 1)
+def test_the_peers_command_without_a_server_fails_with_one_line() -> None:
+    result = CliRunner().invoke(cli, ["peers", f"127.0.0.1:{free_port()}"])
+    assert (result.exit_code, result.output.count("\n")) == (1, 1)
     assert CliRunner().invoke(cli, ["peers", "nowhere"]).exit_code == 2
 
 
-def test_the_answer_in_words() -> None:
-    running = new_loop()
-    mine = GossipNode.bind(running, settings_on(free_port()), "a", 1)
-    lines = membership_text(json.loads(json.dumps(mine.report()))).splitlines()
+def test_the_membership_report_as_text() -> None:
+    loop = new_loop()
+    node = GossipNode.bind(loop, settings_on(free_port()), "a", 1)
+    lines = membership_text(json.loads(json.dumps(node.report()))).splitlines()
     assert lines[0].startswith("a at 127.0.0.1")
     assert lines[1] == "1 there, 0 gone"
     assert lines[-1] == "dropped: nothing"
-    running.close()
+    loop.close()
--- a/tests/gossip/test_rate_limits.py
+++ b/tests/gossip/test_rate_limits.py
@@ -7,7 +7,7 @@
 SECOND = 1_000_000_000
 
 
-def test_rates_hold_in_sum_and_for_each_source() -> None:
+def test_rates_are_limited_in_total_and_per_source() -> None:
     bucket = TokenBucket(100, 0)
     assert sum(bucket.admit(SECOND) for _ in range(1000)) == 25
     assert sum(bucket.admit(SECOND + place * SECOND // 1000) for place in range(1000)) in range(95, 106)
