--- a/canvasbeam/admin/operations.py
+++ b/canvasbeam/admin/operations.py
@@ -28,7 +28,7 @@
 from canvasbeam.scheduler.listener import Listener
 from canvasbeam.scheduler.request_coordinator import RequestCoordinator
 
-HANDOVER_POLL_INTERVAL = seconds(0.1)  # maximum delay until a request made to another process applies here
+HANDOVER_POLL_INTERVAL = seconds(0.1)  # maximum delay until a request made to another process applies in this one
 
 
 class SchedulerOperations:
--- a/canvasbeam/admin/server.py
+++ b/canvasbeam/admin/server.py
@@ -102,7 +102,7 @@
     # --- reading ----------------------------------------------------------------------------------
 
     def on_data(self, data: bytes) -> None:
-        """Parse received bytes and reject malformed or oversized requests; ignore data after the response."""
+        """Parse received bytes, and reject malformed or oversized requests; ignore data received after the response."""
         if self.answered:
             return
         self._received_bytes += len(data)
--- a/canvasbeam/gossip/settings.py
+++ b/canvasbeam/gossip/settings.py
@@ -1,8 +1,8 @@
 """The operators' settings file for peers: this instance's address, its seeds, intervals and size limits.
 
 The module owns the file's keys, their validation and the error messages, which name the file, the key and the rule. The
-keys must not change, because operators' files use them; `PeerSettings.swim_parameters` maps them to the names in the
-code. The module must never open a socket, and never accept a partially valid file.
+keys are older than the names in the code and must not change; `PeerSettings.swim_parameters` alone maps the keys to
+these names. The module must never open a socket, and never accept a partially valid file.
 """
 
 from __future__ import annotations
--- a/tests/admin/test_maintenance.py
+++ b/tests/admin/test_maintenance.py
@@ -58,7 +58,8 @@
     def listed_by_discovery(self, names: set[str], restarted: set[str]) -> None:
         self.listed = names
         new_starts = dict.fromkeys(restarted & names, self.now + 1)
-        self.starts = {name: new_starts.get(name, self.starts.get(name, 0)) for name in names}  # last reported starts
+        # A worker that did not restart keeps the start time that the list reported last.
+        self.starts = {name: new_starts.get(name, self.starts.get(name, 0)) for name in names}
         self.send_events(maintenance.WorkersListedEvent(frozenset(names), dict(self.starts)))
 
     @rule(name=NAMES)
--- a/tests/admin/test_operations.py
+++ b/tests/admin/test_operations.py
@@ -34,6 +34,7 @@
 
 
 def test_a_worker_in_maintenance_mode_gets_no_new_request_whatever_discovery_says() -> None:
+    """Fails if an endpoint list that reports the worker as live ends its maintenance mode."""
     scheduler = ManagedScheduler(Server(), Server())
     assert request_maintenance(scheduler, "s-0") == 200
     scheduler.list_targets()  # discovery still reports the worker as live
@@ -72,18 +73,22 @@
 
 
 def test_the_workers_in_maintenance_mode_are_shared_with_the_next_process(tmp_path: Path) -> None:
+    """Fails if one process of an upgrade misses a change that an operator made through the other process."""
     servers = (Server(), Server())
     old = ManagedScheduler(*servers, handover=Handover(handover_path(tmp_path, ("127.0.0.1", 5000))))
     assert request_maintenance(old, "s-1") == 200
     new = ManagedScheduler(*servers, handover=Handover(handover_path(tmp_path, ("127.0.0.1", 5000))))
-    assert new.coordinator.worker_table.in_maintenance == {"s-1"}  # read when the new process starts
+    # The new process reads the shared file when it starts.
+    assert new.coordinator.worker_table.in_maintenance == {"s-1"}
     assert request_maintenance(new, "s-0") == 200
-    old.until(lambda: old.coordinator.worker_table.in_maintenance == {"s-0", "s-1"})  # the old process polls
+    # The old process is still running and applies the change that it reads from the shared file.
+    old.until(lambda: old.coordinator.worker_table.in_maintenance == {"s-0", "s-1"})
     assert request_maintenance(new, "s-1", "ready") == 200
     old.until(lambda: old.coordinator.worker_table.in_maintenance == {"s-0"})
     assert serve_all(new, 3) == [0, 3]
     other_address = ManagedScheduler(*servers, handover=Handover(handover_path(tmp_path, ("127.0.0.1", 5001))))
-    assert other_address.coordinator.worker_table.in_maintenance == set()  # other addresses have their own set
+    # A scheduler on another clients' address has its own set of workers in maintenance mode.
+    assert other_address.coordinator.worker_table.in_maintenance == set()
 
 
 def stats(scheduler: ManagedScheduler) -> dict[str, Any]:
@@ -148,6 +153,7 @@
 
 
 def test_a_restart_reported_during_maintenance_is_the_start_of_the_returning_worker() -> None:
+    """Fails if the returning worker counts as started now although discovery has reported its restart."""
     scheduler = ManagedScheduler(Server(), Server())
     assert request_maintenance(scheduler, "s-0") == 200
     scheduler.until(lambda: True)
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -56,16 +56,19 @@
         answer = scheduler.call(b"GET /healthcheck HTTP/1.1\r\n\r\n"[:cut])
         assert status(answer) == 408, cut
     peer = scheduler.caller()
-    scheduler.until(lambda: peer.look() == b"" and peer.ended)  # closed without a response, as no data came
+    # A connection that sends no data is closed without a response.
+    scheduler.until(lambda: peer.look() == b"" and peer.ended)
 
 
 def test_idle_connections_do_not_block_new_clients() -> None:
+    """Fails if clients that hold incomplete requests can fill the connection table of the management address."""
     scheduler = ManagedScheduler(Server())
     idle_clients = [scheduler.caller(b"GET /health") for _ in range(3 * scheduler.limits.mgmt_connections)]
     answer = scheduler.call(b"GET /healthcheck HTTP/1.1\r\n\r\n")
     assert status(answer) == 200
     assert len(scheduler.mgmt.connections) <= scheduler.limits.mgmt_connections
-    assert any(idle_client.look() == b"" and idle_client.ended for idle_client in idle_clients)  # closed to make room
+    # The server closes the oldest idle connections to make room for new ones.
+    assert any(idle_client.look() == b"" and idle_client.ended for idle_client in idle_clients)
 
 
 def test_a_flood_of_clients_does_not_delay_the_management_address() -> None:
@@ -85,7 +88,8 @@
 def test_a_flood_on_the_management_address_does_not_delay_the_clients() -> None:
     scheduler = ManagedScheduler(Server())
     callers = []
-    for _ in range(8 * scheduler.limits.mgmt_connections):  # exceeds the backlog, so the connects must not block
+    # There are more connections than the backlog holds, so the connects must not block.
+    for _ in range(8 * scheduler.limits.mgmt_connections):
         sock = socket.socket()
         sock.setblocking(False)
         sock.connect_ex(scheduler.mgmt_address)
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -43,6 +43,7 @@
 
 
 def test_reordered_sequence_numbers_are_accepted_once_and_those_below_the_window_dropped() -> None:
+    """Fails if the replay window drops reordered datagrams, or accepts a datagram twice or from below the window."""
     codec, sender_codec = Codec("f", 10), Codec("f", 10)
     sent = [sender_codec.encode(SENDER, DATAGRAM) or b"" for _ in range(200)]
     order = list(range(100, 140))
@@ -54,6 +55,7 @@
 
 
 def test_a_flood_of_sender_names_keeps_no_more_replay_windows_than_allowed() -> None:
+    """Fails if datagrams with forged sender names can use unbounded memory."""
     codec, sender_codec = Codec("f", 10), Codec("f", 10)
     for number in range(100):
         data = sender_codec.encode(Sender(f"x{number}", 1, 0, ""), Datagram(DatagramKind.PING))
@@ -65,6 +67,7 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.binary(max_size=200), st.integers(0, 120), st.binary(min_size=1, max_size=4))
 def test_arbitrary_bytes_never_raise(noise: bytes, index: int, patch: bytes) -> None:
+    """Fails if corrupt or hostile bytes raise an exception in the decoder."""
     codec = Codec("f", 10)
     good = Codec("f", 10).encode(SENDER, DATAGRAM)
     assert good is not None
--- a/tests/gossip/test_datagram_node.py
+++ b/tests/gossip/test_datagram_node.py
@@ -26,6 +26,7 @@
 
 
 def test_a_new_process_waits_until_the_old_one_frees_the_address() -> None:
+    """Fails if the new process of an upgrade does not retry while the old process still uses the gossip address."""
     loop, port = new_loop(), free_port()
     old = PeerNode(loop, settings_on(port), "a", 1)
     new = PeerNode(loop, settings_on(port), "a", 2)
@@ -37,6 +38,7 @@
 
 
 def test_a_flood_of_malformed_datagrams_and_valid_pings_is_rate_limited_and_counted() -> None:
+    """Fails if a flood gets past the rate limits, adds members, or triggers an unbounded number of replies."""
     loop, port = new_loop(), free_port()
     node = GossipNode.bind(loop, settings_on(port, sizes={"taken_per_s": 100, "taken_per_s_of_one": 40}), "a", 1)
     codec = Codec("f", 10)
@@ -62,6 +64,7 @@
 
 
 def test_no_datagram_is_sent_to_an_address_outside_the_allowed_networks() -> None:
+    """Fails if a peer can make a node send to any address by announcing a member at that address."""
     loop, port = new_loop(), free_port()
     node = GossipNode.bind(loop, settings_on(port), "a", 1)
     codec = Codec("f", 10)
--- a/tests/gossip/test_peer_processes.py
+++ b/tests/gossip/test_peer_processes.py
@@ -53,6 +53,7 @@
 
 
 def test_all_members_learn_of_a_kill_a_restart_and_a_planned_shutdown(fleet: PeerFleet) -> None:
+    """Fails if a killed, restarted or stopped process is reported wrongly, also after a restart with a slow clock."""
     fleet.signal("n1", signal.SIGKILL)
     fleet.until(lambda: fleet.all_know_gone("n1"))
     assert {member_row(fleet, name, "n1")["state"] for name in NAMES if name != "n1"} == {"dead"}
@@ -68,6 +69,7 @@
 
 
 def test_both_sides_of_a_partition_keep_running_and_merge_afterwards(fleet: PeerFleet) -> None:
+    """Fails if a partition makes a side declare its own members dead, or if the sides do not merge after it heals."""
     minority, majority = ("n0", "n1"), ("n2", "n3", "n4")
     manual_links(fleet).cuts = {pair for one in minority for other in majority for pair in ((one, other), (other, one))}
     fleet.until(lambda: all(fleet.view(item) == list(minority) for item in minority))
@@ -82,6 +84,7 @@
 
 
 def test_a_member_that_receives_nothing_reports_it_and_is_declared_gone(fleet: PeerFleet) -> None:
+    """Fails if a member whose incoming datagrams are all lost blames the other members instead of its own links."""
     manual_links(fleet).cuts = {(name, "n3") for name in NAMES if name != "n3"}
     fleet.until(lambda: fleet.members["n3"].told["silent_s"] is not None)
     assert fleet.members["n3"].told["sure"] == 0
@@ -93,6 +96,7 @@
 
 
 def test_a_member_whose_datagrams_are_lost_reports_it_and_declares_nobody_dead(fleet: PeerFleet) -> None:
+    """Fails if a member whose outgoing datagrams are all lost takes the missing answers for deaths of the others."""
     manual_links(fleet).cuts = {("n3", name) for name in NAMES if name != "n3"}
     fleet.until(lambda: fleet.all_know_gone("n3"))
     # n3 still receives the pings of the others.
@@ -107,6 +111,7 @@
 
 
 def test_a_paused_process_resumes_and_declares_nobody_dead(fleet: PeerFleet) -> None:
+    """Fails if a process stopped by SIGSTOP declares others dead after SIGCONT, or does not refute its own death."""
     fleet.signal("n2", signal.SIGSTOP)
     fleet.until(lambda: fleet.all_know_gone("n2"))
     before = (fleet.folder / "n2.log").read_text()
@@ -118,6 +123,7 @@
 
 
 def test_loss_duplication_and_delay_cause_no_false_death(fleet: PeerFleet) -> None:
+    """Fails if lost, duplicated or delayed datagrams lead to a false death, or if duplicates are not dropped."""
     controlled_links = manual_links(fleet)
     controlled_links.loss, controlled_links.doubled, controlled_links.late_ms = 0.2, 0.3, 20.0
     fleet.until(lambda: min(fleet.members[name].told["taken"]["datagrams"] for name in NAMES) > 150)
@@ -129,6 +135,7 @@
 
 
 def test_the_newer_of_two_processes_with_one_name_is_the_member(fleet: PeerFleet) -> None:
+    """Fails if two processes with one name both stay members, or if the older of the two keeps the name."""
     fleet.start("n5", called="n1")
     fleet.until(lambda: fleet.members["n1"].told["me"]["state"] == "displaced")
     address = fleet.relay.known("n5")
--- a/tests/gossip/test_peers.py
+++ b/tests/gossip/test_peers.py
@@ -39,6 +39,7 @@
 
 @pytest.mark.parametrize(("allowed", "text"), [(False, GOOD), (False, "rubbish"), (True, None)])
 def test_disabled_gossip_is_not_imported(tmp_path: Path, allowed: bool, text: str | None) -> None:
+    """Fails if a scheduler without peers imports the gossip package or its dependencies."""
     result = run_scheduler(tmp_path, allowed, text)
     assert "cannot listen or serve" in result.stderr
     assert "canvasbeam.gossip" not in result.stderr
