--- a/tests/admin/test_maintenance.py
+++ b/tests/admin/test_maintenance.py
@@ -1,4 +1,7 @@
-"""Maintenance mode: the pure module against a model of its page, and each property against a copy that breaks it."""
+"""Tests the state machine of maintenance mode against a model of its documentation.
+
+For each property, a deliberately broken copy of the state machine shows that the test detects the fault.
+"""
 
 from __future__ import annotations
 
@@ -13,24 +16,24 @@
 NAMES = st.sampled_from(["a", "b", "c", "d"])
 
 
-class Machine(RuleBasedStateMachine):
-    """Requests, endpoint lists and sets from another process, in any order, beside a model of the operators' page."""
+class MaintenanceStateMachine(RuleBasedStateMachine):
+    """Applies requests, endpoint lists and replaced sets in any order, and compares the register with a model."""
 
-    kind: type[maintenance.MaintenanceRegister] = maintenance.MaintenanceRegister
+    register_class: type[maintenance.MaintenanceRegister] = maintenance.MaintenanceRegister
 
     def __init__(self) -> None:
         super().__init__()
-        self.register = self.kind()
+        self.register = self.register_class()
         self.listed: set[str] = set()
         self.in_maintenance: set[str] = set()
         self.now = 0
         self.requests = 0
-        self.draining: set[str] = set()  # as the core would be notified, by Drain and Reinstate alone
-        self.starts: dict[str, int] = {}  # as the endpoint list says
+        self.draining: set[str] = set()  # workers drained according to Drain and Reinstate actions alone
+        self.starts: dict[str, int] = {}  # start times in the last endpoint list
         self.entered_at: dict[str, int] = {}
         self.persisted: frozenset[str] | None = None
 
-    def give(self, *events: maintenance.Event) -> list[maintenance.Action]:
+    def send_events(self, *events: maintenance.Event) -> list[maintenance.Action]:
         self.now += 1
         actions = self.register.handle(self.now, list(events))
         for action in actions:
@@ -54,14 +57,15 @@
     @rule(names=st.sets(NAMES), restarted=st.sets(NAMES))
     def listed_by_discovery(self, names: set[str], restarted: set[str]) -> None:
         self.listed = names
-        fresh = dict.fromkeys(restarted & names, self.now + 1)
-        self.starts = {name: fresh.get(name, self.starts.get(name, 0)) for name in names}  # the list as last reported
-        self.give(maintenance.WorkersListedEvent(frozenset(names), dict(self.starts)))
+        new_starts = dict.fromkeys(restarted & names, self.now + 1)
+        # A worker that did not restart keeps the start time that the list reported last.
+        self.starts = {name: new_starts.get(name, self.starts.get(name, 0)) for name in names}
+        self.send_events(maintenance.WorkersListedEvent(frozenset(names), dict(self.starts)))
 
     @rule(name=NAMES)
     def enter_maintenance(self, name: str) -> None:
         self.requests += 1
-        accepted = self.answer(self.give(maintenance.EnterRequestedEvent(name, self.requests)))
+        accepted = self.answer(self.send_events(maintenance.EnterRequestedEvent(name, self.requests)))
         assert accepted == (name in self.listed or name in self.in_maintenance), (
             "requests for unknown workers are rejected"
         )
@@ -73,7 +77,7 @@
     @rule(name=NAMES)
     def leave_maintenance(self, name: str) -> None:
         self.requests += 1
-        accepted = self.answer(self.give(maintenance.LeaveRequestedEvent(name, self.requests)))
+        accepted = self.answer(self.send_events(maintenance.LeaveRequestedEvent(name, self.requests)))
         assert accepted == (name in self.listed or name in self.in_maintenance)
         self.in_maintenance.discard(name)
         if accepted:
@@ -84,8 +88,8 @@
         for name in names - self.in_maintenance:
             self.entered_at[name] = self.now + 1
         self.in_maintenance = set(names)
-        self.persisted = frozenset(names)  # the shared file says so
-        self.give(maintenance.SetReplacedEvent(frozenset(names)))
+        self.persisted = frozenset(names)  # the other process has already stored this set
+        self.send_events(maintenance.SetReplacedEvent(frozenset(names)))
 
     @invariant()
     def maintenance_mode_is_a_set_and_its_workers_drain(self) -> None:
@@ -94,27 +98,27 @@
 
 
 class Counting(maintenance.MaintenanceRegister):
-    """Broken: entering twice needs leaving twice."""
+    """Fault: counts entries, so that entering twice requires leaving twice."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.times: dict[str, int] = {}
+        self.entries: dict[str, int] = {}
 
     def handle(self, now: int, events: list[maintenance.Event]) -> list[maintenance.Action]:
-        passed_on: list[maintenance.Event] = []
+        forwarded_events: list[maintenance.Event] = []
         for event in events:
             if isinstance(event, maintenance.EnterRequestedEvent) and event.worker in self.workers:
-                self.times[event.worker] = self.times.get(event.worker, 1) + 1
-            if isinstance(event, maintenance.LeaveRequestedEvent) and self.times.get(event.worker, 1) > 1:
-                self.times[event.worker] -= 1
-                passed_on.append(maintenance.WorkersListedEvent(frozenset()))
+                self.entries[event.worker] = self.entries.get(event.worker, 1) + 1
+            if isinstance(event, maintenance.LeaveRequestedEvent) and self.entries.get(event.worker, 1) > 1:
+                self.entries[event.worker] -= 1
+                forwarded_events.append(maintenance.WorkersListedEvent(frozenset()))
                 return [maintenance.Answer(event.request_id, True)]
-            passed_on.append(event)
-        return super().handle(now, passed_on)
+            forwarded_events.append(event)
+        return super().handle(now, forwarded_events)
 
 
 class AcceptingUnknown(maintenance.MaintenanceRegister):
-    """Broken: any worker enters, known or not."""
+    """Fault: accepts requests about workers that are not in the endpoint list."""
 
     def handle(self, now: int, events: list[maintenance.Event]) -> list[maintenance.Action]:
         names = {
@@ -126,14 +130,14 @@
 
 
 class NotReplacing(maintenance.MaintenanceRegister):
-    """Broken: what another process stored is not taken up."""
+    """Fault: ignores the set stored by another process."""
 
     def handle(self, now: int, events: list[maintenance.Event]) -> list[maintenance.Action]:
         return super().handle(now, [event for event in events if not isinstance(event, maintenance.SetReplacedEvent)])
 
 
 class IgnoringStarts(maintenance.MaintenanceRegister):
-    """Broken: a restart that discovery reported is ignored; every returning worker counts as started now."""
+    """Fault: ignores start times reported by discovery, so every returning worker counts as started now."""
 
     def handle(self, now: int, events: list[maintenance.Event]) -> list[maintenance.Action]:
         without_starts = [
@@ -146,13 +150,13 @@
 
 
 class NotPersisting(maintenance.MaintenanceRegister):
-    """Broken: the set is not stored."""
+    """Fault: never stores the set of workers in maintenance mode."""
 
     def handle(self, now: int, events: list[maintenance.Event]) -> list[maintenance.Action]:
         return [action for action in super().handle(now, events) if not isinstance(action, maintenance.Persist)]
 
 
-TestMaintenance = Machine.TestCase
+TestMaintenance = MaintenanceStateMachine.TestCase
 TestMaintenance.settings = profile(
     max_examples=80, stateful_step_count=30, deadline=None, derandomize=True, database=None
 )
@@ -160,8 +164,8 @@
 
 @pytest.mark.parametrize("broken", [Counting, AcceptingUnknown, NotReplacing, IgnoringStarts, NotPersisting])
 def test_each_property_catches_a_broken_module(broken: type[maintenance.MaintenanceRegister]) -> None:
-    class Broken(Machine):
-        kind = broken
+    class Broken(MaintenanceStateMachine):
+        register_class = broken
 
     assert_caught(Broken, max_examples=80, steps=30)
 
